--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
@@ -9,7 +9,7 @@
 from agateferry_core.demand import Adjacency, Worker
 from agateferry_scheduling.guarantees.layout import Cell, Layout
 from agateferry_scheduling.scheduler.messages import Team
-from agateferry_scheduling.topology import Backing, Topology
+from agateferry_scheduling.topology import AllocationKind, Topology
 
 ShapeCounts = Counter[tuple[str, int, Adjacency]]
 
@@ -69,9 +69,9 @@
         request = allocation.request
         for name, members in allocation.counts.items():
             taken = members * request.demand.accelerators
-            if allocation.backing is Backing.PINNED:
+            if allocation.kind is AllocationKind.PINNED:
                 pinned[name] += taken
-            elif allocation.backing is Backing.GUARANTEED:
+            elif allocation.kind is AllocationKind.GUARANTEED:
                 own[(request.team, name)] += taken
             elif not request.preemptible:
                 return f"{request.request_id} is borrowed but cannot be taken back"
--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
@@ -12,8 +12,8 @@
 
 from agateferry_core.demand import Adjacency, Demand
 from agateferry_scheduling.scheduler.messages import Team
-from agateferry_scheduling.topology import Allocation, Backing, Topology, WorkerState
-from agateferry_scheduling.topology.amount import Amount, share, whole
+from agateferry_scheduling.topology import Allocation, AllocationKind, Topology, WorkerState
+from agateferry_scheduling.topology.resources import Resources, share, whole
 
 STRICTNESS = {Adjacency.WORKER: 0, Adjacency.RACK: 1, Adjacency.ANY: 2}
 
@@ -39,8 +39,8 @@
         self.cells: list[Cell] = []
         self.laid: dict[str, int] = defaultdict(int)
         self.team_laid: dict[str, dict[str, int]] = defaultdict(dict)
-        self.own: dict[str, dict[str, Amount]] = defaultdict(dict)
-        self.pinned: dict[str, Amount] = {}
+        self.own: dict[str, dict[str, Resources]] = defaultdict(dict)
+        self.pinned: dict[str, Resources] = {}
 
     def set_teams(self, teams: tuple[Team, ...]) -> None:
         """Make the cells anew for this list of teams, largest and most adjacent first."""
@@ -67,7 +67,7 @@
             request = allocation.request
             may_use = request.demand.accelerators > 0 or not request.preemptible
             if request.team in teams and may_use and not allocation.pending:
-                self._recount(allocation, Backing.GUARANTEED)
+                self._recount(allocation, AllocationKind.GUARANTEED)
         self.lay_all()
 
     def lay_all(self) -> None:
@@ -102,7 +102,7 @@
             within = within.minus(used)
         return within.room_for(demand)
 
-    def slack(self, state: WorkerState) -> Amount:
+    def slack(self, state: WorkerState) -> Resources:
         """Return what no cell and no pinned work takes on a worker."""
         left = whole(state.worker).minus(share(state.worker, self.laid.get(state.name, 0)))
         pinned = self.pinned.get(state.name)
@@ -110,15 +110,15 @@
 
     def charge(self, allocation: Allocation, sign: int) -> None:
         """Count guaranteed or pinned work in (1) or out (-1)."""
-        if allocation.backing is Backing.BORROWED:
+        if allocation.kind is AllocationKind.BORROWED:
             return
         book = self.pinned
-        if allocation.backing is Backing.GUARANTEED:
+        if allocation.kind is AllocationKind.GUARANTEED:
             book = self.own[allocation.request.team]
         for name, members in allocation.counts.items():
-            amount = book.setdefault(name, Amount())
-            amount.add(allocation.request.demand, sign * members)
-            if amount == Amount():
+            resources = book.setdefault(name, Resources())
+            resources.add(allocation.request.demand, sign * members)
+            if resources == Resources():
                 del book[name]
 
     def is_movable(self, cell: Cell) -> bool:
@@ -264,7 +264,7 @@
         guaranteed = [
             allocation
             for allocation in self.topology.allocations.values()
-            if allocation.backing is Backing.GUARANTEED
+            if allocation.kind is AllocationKind.GUARANTEED
         ]
         guaranteed.sort(key=lambda a: (-a.started_ms, a.request.request_id))
         for allocation in guaranteed:
@@ -273,11 +273,11 @@
                 self._recount(allocation, _outside(allocation))
         return True
 
-    def _recount(self, allocation: Allocation, backing: Backing) -> None:
+    def _recount(self, allocation: Allocation, kind: AllocationKind) -> None:
         self.charge(allocation, -1)
-        self.topology.change(allocation, backing=backing)
+        self.topology.change(allocation, kind=kind)
         self.charge(allocation, 1)
 
 
-def _outside(allocation: Allocation) -> Backing:
-    return Backing.BORROWED if allocation.request.preemptible else Backing.PINNED
+def _outside(allocation: Allocation) -> AllocationKind:
+    return AllocationKind.BORROWED if allocation.request.preemptible else AllocationKind.PINNED
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/compaction.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/compaction.py
@@ -12,7 +12,7 @@
 from agateferry_scheduling.placement.choice import Candidate, choose
 from agateferry_scheduling.placement.cost import cost_of
 from agateferry_scheduling.placement.first_fit import Counts
-from agateferry_scheduling.topology import Allocation, Backing, Topology, WorkerState
+from agateferry_scheduling.topology import Allocation, AllocationKind, Topology, WorkerState
 
 WORKERS_WEIGHED = 16
 MOVES_WEIGHED = 12
@@ -68,7 +68,7 @@
 def _may_move(allocation: Allocation) -> bool:
     request = allocation.request
     wanted = request.demand.members * request.demand.accelerators
-    busy = allocation.stopping or allocation.pending or allocation.backing is Backing.PINNED
+    busy = allocation.stopping or allocation.pending or allocation.kind is AllocationKind.PINNED
     can_stop = request.preemptible and request.checkpointable
     return can_stop and not busy and 0 < wanted <= LARGEST_MOVED
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/claims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/claims.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from agateferry_scheduling.topology import Allocation, Topology
-from agateferry_scheduling.topology.amount import Amount
+from agateferry_scheduling.topology.resources import Resources
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
 
     def ready(self) -> list[Claim]:
         """Return the claims that can start now, all at once, by their terms."""
-        used: dict[str, Amount] = defaultdict(Amount)
+        used: dict[str, Resources] = defaultdict(Resources)
         ready = []
         for claim in sorted(self.open.values(), key=lambda c: c.by_ms):
             demand = claim.allocation.request.demand
@@ -65,9 +65,9 @@
             if not all(self._is_open(name) for name in claim.allocation.counts)
         ]
 
-    def _vacant(self, name: str) -> Amount:
+    def _vacant(self, name: str) -> Resources:
         state = self._topology.workers.get(name)
-        return Amount() if state is None else state.vacant()
+        return Resources() if state is None else state.vacant()
 
     def _is_open(self, name: str) -> bool:
         state = self._topology.workers.get(name)
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from agateferry_core.demand import Demand, Urgency
-from agateferry_scheduling.topology import Allocation, Backing, Topology, WorkerState
-from agateferry_scheduling.topology.amount import Amount
+from agateferry_scheduling.topology import Allocation, AllocationKind, Topology, WorkerState
+from agateferry_scheduling.topology.resources import Resources
 
 CHECKPOINT_COST_MS = 5_000
 URGENT_PENALTY_MS = 24 * 3_600_000
@@ -44,7 +44,7 @@
     now_ms: int,
 ) -> Plan | None:
     """Return what to stop so that so many members fit on one worker, or None."""
-    needed = Amount()
+    needed = Resources()
     needed.add(demand, members)
     room = state.free().plus(state.stopping)
     if not room.minus(needed).is_negative():
@@ -68,20 +68,20 @@
     found = []
     for request_id in state.requests:
         allocation = topology.allocations[request_id]
-        taken_back = allocation.backing is Backing.BORROWED
+        taken_back = allocation.kind is AllocationKind.BORROWED
         if taken_back and not (allocation.stopping or allocation.pending) and allowed(allocation):
             found.append((loss_ms(allocation, now_ms), allocation))
     found.sort(key=lambda item: (item[0], item[1].request.request_id))
     return found
 
 
-def _part(allocation: Allocation, state: WorkerState) -> Amount:
-    part = Amount()
+def _part(allocation: Allocation, state: WorkerState) -> Resources:
+    part = Resources()
     part.add(allocation.request.demand, allocation.counts[state.name])
     return part
 
 
-def _helps(left: Amount, part: Amount) -> bool:
+def _helps(left: Resources, part: Resources) -> bool:
     return (
         (left.accelerators < 0 and part.accelerators > 0)
         or (left.slots < 0 and part.slots > 0)
@@ -90,7 +90,7 @@
     )
 
 
-def _pruned(state: WorkerState, chosen: list[tuple[int, Allocation]], spare: Amount) -> Plan:
+def _pruned(state: WorkerState, chosen: list[tuple[int, Allocation]], spare: Resources) -> Plan:
     """Let the dearest of the chosen go on where the others are enough."""
     kept: list[tuple[int, Allocation]] = []
     for lost, allocation in reversed(chosen):
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
@@ -11,7 +11,7 @@
 from agateferry_scheduling.estimates import Estimates
 from agateferry_scheduling.scheduler.messages import PendingRequest
 from agateferry_scheduling.topology import Topology, WorkerState
-from agateferry_scheduling.topology.amount import Amount
+from agateferry_scheduling.topology.resources import Resources
 from agateferry_scheduling.topology.state import capacity_for
 
 RACKS_WEIGHED = 4
@@ -80,8 +80,8 @@
 ) -> Reservation | None:
     """Let the running work of these workers end in its likely order until the gang fits."""
     demand = request.demand
-    room: dict[str, Amount] = {worker.name: worker.vacant() for worker in workers}
-    fits = {name: amount.room_for(demand) for name, amount in room.items()}
+    room: dict[str, Resources] = {worker.name: worker.vacant() for worker in workers}
+    fits = {name: resources.room_for(demand) for name, resources in room.items()}
     total = sum(fits.values())
     start_ms = now_ms
     for end_ms, request_id in _ends(topology, estimates, workers, now_ms):
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
@@ -12,7 +12,7 @@
 from agateferry_scheduling.queueing.reservation import Reservation
 from agateferry_scheduling.scheduler.messages import PendingRequest
 from agateferry_scheduling.scheduler.zone import ZoneState
-from agateferry_scheduling.topology import Backing, WorkerState
+from agateferry_scheduling.topology import AllocationKind, WorkerState
 
 CANDIDATES_FOR_ONE = 48
 WORKERS_WEIGHED = 12
@@ -250,6 +250,6 @@
         return left < self._zone.config.urgent_headroom_slots
 
 
-def backing_of(request: PendingRequest) -> Backing:
+def kind_outside_guarantee(request: PendingRequest) -> AllocationKind:
     """Return by what right a request holds workers outside its team's cells."""
-    return Backing.BORROWED if request.preemptible else Backing.PINNED
+    return AllocationKind.BORROWED if request.preemptible else AllocationKind.PINNED
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/moving.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/moving.py
@@ -7,7 +7,7 @@
 from agateferry_scheduling.scheduler.finder import Finder
 from agateferry_scheduling.scheduler.messages import Decision, PendingRequest, Preempt, Start
 from agateferry_scheduling.scheduler.zone import ZoneState
-from agateferry_scheduling.topology import Allocation, Backing
+from agateferry_scheduling.topology import Allocation, AllocationKind
 
 BASE_GAP_MS = 4_000
 BASE_REST_MS = 60_000
@@ -51,9 +51,9 @@
         if not all(self._is_vacant(request, name, n) for name, n in held.counts.items()):
             return []
         covered = self._find.cover(request, held.counts)
-        backing = Backing.GUARANTEED if covered else Backing.BORROWED
+        kind = AllocationKind.GUARANTEED if covered else AllocationKind.BORROWED
         self._zone.queue.remove(request.request_id)
-        allocation = self._zone.place(request, held.counts, backing, now_ms, pending=False)
+        allocation = self._zone.place(request, held.counts, kind, now_ms, pending=False)
         return [Start(request.request_id, allocation.assignments)]
 
     def release(self, request_id: str) -> Allocation | None:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
@@ -5,10 +5,10 @@
 from agateferry_scheduling.preemption.claims import Claim
 from agateferry_scheduling.preemption.victims import CHECKPOINT_COST_MS, Plan
 from agateferry_scheduling.queueing import is_large
-from agateferry_scheduling.scheduler.finder import Finder, backing_of
+from agateferry_scheduling.scheduler.finder import Finder, kind_outside_guarantee
 from agateferry_scheduling.scheduler.messages import Decision, PendingRequest, Preempt, Start
 from agateferry_scheduling.scheduler.zone import ZoneState
-from agateferry_scheduling.topology import Allocation, Backing
+from agateferry_scheduling.topology import Allocation, AllocationKind
 
 TURN_MS = 30 * 60_000
 WORKERS_WEIGHED = 48
@@ -47,13 +47,13 @@
                 by_ms = now_ms + config.reclaim_ms // 2
                 if urgent:
                     by_ms = min(by_ms, self._urgent_by(request, now_ms))
-                return self._claim(request, found, Backing.GUARANTEED, by_ms, now_ms)
+                return self._claim(request, found, AllocationKind.GUARANTEED, by_ms, now_ms)
         if urgent:
             names = self._cheap_workers(request)
             found = self._find.take_back(request, names, _not_urgent, now_ms)
             if found is not None:
                 by_ms = self._urgent_by(request, now_ms)
-                return self._claim(request, found, backing_of(request), by_ms, now_ms)
+                return self._claim(request, found, kind_outside_guarantee(request), by_ms, now_ms)
         elif now_ms - request.submitted_ms > config.large_wait_ms // 2:
             return self._claim_for_aged(request, now_ms)
         return []
@@ -73,7 +73,7 @@
         if found is None:
             return []
         by_ms = now_ms + self._zone.config.reclaim_ms // 2
-        return self._claim(request, found, backing_of(request), by_ms, now_ms)
+        return self._claim(request, found, kind_outside_guarantee(request), by_ms, now_ms)
 
     def _claim_for_aged(self, request: PendingRequest, now_ms: int) -> list[Decision]:
         if not is_large(request):
@@ -93,19 +93,19 @@
         if found is None:
             return []
         by_ms = now_ms + self._zone.config.reclaim_ms // 2
-        return self._claim(request, found, backing_of(request), by_ms, now_ms)
+        return self._claim(request, found, kind_outside_guarantee(request), by_ms, now_ms)
 
     def _claim(
         self,
         request: PendingRequest,
         found: tuple[Counts, Plan],
-        backing: Backing,
+        kind: AllocationKind,
         by_ms: int,
         now_ms: int,
     ) -> list[Decision]:
         counts, plan = found
         self._zone.queue.remove(request.request_id)
-        allocation = self._zone.place(request, counts, backing, now_ms, pending=True)
+        allocation = self._zone.place(request, counts, kind, now_ms, pending=True)
         self._zone.claims.add(Claim(allocation, by_ms))
         decisions: list[Decision] = []
         for victim in plan.victims:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
@@ -10,12 +10,12 @@
 from agateferry_scheduling.placement.first_fit import Counts
 from agateferry_scheduling.placement.stranding import rack_group, stranded_by
 from agateferry_scheduling.queueing import Group, is_large
-from agateferry_scheduling.scheduler.finder import Finder, backing_of
+from agateferry_scheduling.scheduler.finder import Finder, kind_outside_guarantee
 from agateferry_scheduling.scheduler.messages import Decision, PendingRequest, Start
 from agateferry_scheduling.scheduler.reclaiming import Reclaimer, may_use_cells
 from agateferry_scheduling.scheduler.reserving import Reserver
 from agateferry_scheduling.scheduler.zone import ZoneState
-from agateferry_scheduling.topology import Backing
+from agateferry_scheduling.topology import AllocationKind
 
 GROUPS_PER_PASS = 24
 GROUPS_RANKED = 64
@@ -103,10 +103,10 @@
     def _start_now(self, group: Group, request: PendingRequest, now_ms: int) -> list[Decision]:
         cells = self._search_cells(group, request)
         if cells is not None and not request.preemptible:
-            return [self._start(request, cells, Backing.GUARANTEED, now_ms)]
+            return [self._start(request, cells, AllocationKind.GUARANTEED, now_ms)]
         free = self._search_free(group, request, now_ms)
         if cells is not None and (free is None or not self._find.is_cheaper(request, free, cells)):
-            return [self._start(request, cells, Backing.GUARANTEED, now_ms)]
+            return [self._start(request, cells, AllocationKind.GUARANTEED, now_ms)]
         if free is None:
             return []
         if self._is_patient(request, free, now_ms):
@@ -117,12 +117,12 @@
     def _start_free(self, request: PendingRequest, free: Counts, now_ms: int) -> Decision:
         """Start on free workers, within the team's cells if these can be moved there."""
         if request.demand.accelerators > 0 and self._find.cover(request, free):
-            return self._start(request, free, Backing.GUARANTEED, now_ms)
+            return self._start(request, free, AllocationKind.GUARANTEED, now_ms)
         if is_large(request) and may_use_cells(self._zone, request):
             cells = self._find.within_cells(request)
             if cells is not None:
-                return self._start(request, cells, Backing.GUARANTEED, now_ms)
-        return self._start(request, free, backing_of(request), now_ms)
+                return self._start(request, cells, AllocationKind.GUARANTEED, now_ms)
+        return self._start(request, free, kind_outside_guarantee(request), now_ms)
 
     def _search_cells(self, group: Group, request: PendingRequest) -> Counts | None:
         """Look within the team's cells, unless nothing changed there since the last search."""
@@ -166,14 +166,14 @@
             failed_there = worker in self._zone.health.avoided(request.request_id)
             if small and not failed_there and state.room_for(request.demand):
                 self._zone.health.probe_started(worker, request.request_id)
-                return [self._start(request, {worker: 1}, Backing.BORROWED, now_ms)]
+                return [self._start(request, {worker: 1}, AllocationKind.BORROWED, now_ms)]
         return []
 
     def _start(
-        self, request: PendingRequest, counts: Counts, backing: Backing, now_ms: int
+        self, request: PendingRequest, counts: Counts, kind: AllocationKind, now_ms: int
     ) -> Decision:
         self._zone.queue.remove(request.request_id)
-        allocation = self._zone.place(request, counts, backing, now_ms, pending=False)
+        allocation = self._zone.place(request, counts, kind, now_ms, pending=False)
         self._zone.note_start(request.team, now_ms)
         return Start(request.request_id, allocation.assignments)
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
@@ -307,7 +307,7 @@
         after.step(RequestRunning(pending, start.assignments, 0), 0)
         self.assertEqual(["b0"], started(queue(after, request("b0", "b", accelerators=8), 1)))
         self.assertEqual((), after.zone.layout.missing())
-        self.assertEqual("guaranteed", after.zone.topology.allocations["a0"].backing)
+        self.assertEqual("guaranteed", after.zone.topology.allocations["a0"].kind)
 
     def test_equal_events_give_equal_decisions(self):
         def run():
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
@@ -13,7 +13,7 @@
 from agateferry_scheduling.queueing.fairness import Shares
 from agateferry_scheduling.queueing.reservation import Reservation
 from agateferry_scheduling.scheduler.messages import PendingRequest, SchedulingConfig, Team
-from agateferry_scheduling.topology import Allocation, Backing, Topology
+from agateferry_scheduling.topology import Allocation, AllocationKind, Topology
 
 STARTS_REMEMBERED = 16
 
@@ -47,11 +47,16 @@
         self.health.config = config
 
     def place(
-        self, request: PendingRequest, counts: Counts, backing: Backing, now_ms: int, pending: bool
+        self,
+        request: PendingRequest,
+        counts: Counts,
+        kind: AllocationKind,
+        now_ms: int,
+        pending: bool,
     ) -> Allocation:
         """Count a request as placed from now on."""
         assignments = assignments_of(request.demand, counts)
-        allocation = Allocation(request, assignments, now_ms, backing, pending=pending)
+        allocation = Allocation(request, assignments, now_ms, kind, pending=pending)
         self.put(allocation)
         return allocation
 
@@ -59,7 +64,7 @@
         """Keep others off the place that a request moves to."""
         held = replace(request, request_id=f"{request.request_id} moving")
         assignments = assignments_of(request.demand, counts)
-        allocation = Allocation(held, assignments, now_ms, Backing.BORROWED, pending=True)
+        allocation = Allocation(held, assignments, now_ms, AllocationKind.BORROWED, pending=True)
         self.topology.allocate(allocation)
         return allocation
 
@@ -82,8 +87,8 @@
         self, request: PendingRequest, assignments: tuple[Assignment, ...], started_ms: int
     ) -> None:
         """Count a request in that was started before this scheduler began."""
-        backing = Backing.BORROWED if request.preemptible else Backing.PINNED
-        self.put(Allocation(request, assignments, started_ms, backing))
+        kind = AllocationKind.BORROWED if request.preemptible else AllocationKind.PINNED
+        self.put(Allocation(request, assignments, started_ms, kind))
         self.adopting = True
 
     def settle_adopted(self) -> None:
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/__init__.py
@@ -2,10 +2,10 @@
 
 from agateferry_scheduling.topology.state import (
     Allocation,
-    Backing,
+    AllocationKind,
     RackState,
     WorkerState,
 )
 from agateferry_scheduling.topology.topology import Topology
 
-__all__ = ["Allocation", "Backing", "RackState", "Topology", "WorkerState"]
+__all__ = ["Allocation", "AllocationKind", "RackState", "Topology", "WorkerState"]
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/amount.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/resources.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class Amount:
+class Resources:
     """So many accelerators, slots, processor cores and MB of memory; parts may be negative."""
 
     accelerators: int = 0
@@ -21,18 +21,18 @@
         self.cpu += demand.cpu_cores * members
         self.memory += demand.memory_mb * members
 
-    def minus(self, other: "Amount") -> "Amount":
+    def minus(self, other: "Resources") -> "Resources":
         """Return what is left after taking the other amount away."""
-        return Amount(
+        return Resources(
             self.accelerators - other.accelerators,
             self.slots - other.slots,
             self.cpu - other.cpu,
             self.memory - other.memory,
         )
 
-    def plus(self, other: "Amount") -> "Amount":
+    def plus(self, other: "Resources") -> "Resources":
         """Return the sum of both amounts."""
-        return Amount(
+        return Resources(
             self.accelerators + other.accelerators,
             self.slots + other.slots,
             self.cpu + other.cpu,
@@ -55,20 +55,20 @@
         return max(room, 0)
 
 
-def whole(worker: Worker) -> Amount:
+def whole(worker: Worker) -> Resources:
     """Return all that a worker gives."""
-    return Amount(worker.accelerators, worker.slots, worker.cpu_cores, worker.memory_mb)
+    return Resources(worker.accelerators, worker.slots, worker.cpu_cores, worker.memory_mb)
 
 
-def share(worker: Worker, accelerators: int) -> Amount:
+def share(worker: Worker, accelerators: int) -> Resources:
     """Return what goes with so many of a worker's accelerators.
 
     Processor and memory go in proportion, and one slot goes with each accelerator. For example two
     of eight accelerators on a worker with 32 cores come with 8 cores and 2 slots.
     """
     if worker.accelerators == 0:
-        return Amount()
+        return Resources()
     slots = min(accelerators, worker.slots * accelerators // worker.accelerators)
     cpu = worker.cpu_cores * accelerators // worker.accelerators
     memory = worker.memory_mb * accelerators // worker.accelerators
-    return Amount(accelerators, slots, cpu, memory)
+    return Resources(accelerators, slots, cpu, memory)
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/state.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/state.py
@@ -9,10 +9,10 @@
 
 from agateferry_core.demand import Assignment, Demand, Urgency, Worker
 from agateferry_scheduling.scheduler.messages import PendingRequest
-from agateferry_scheduling.topology.amount import Amount
+from agateferry_scheduling.topology.resources import Resources
 
 
-class Backing(StrEnum):
+class AllocationKind(StrEnum):
     """Say by what right an allocation holds its workers.
 
     GUARANTEED work lies within its team's guaranteed shapes, BORROWED work can be taken back, and
@@ -31,7 +31,7 @@
     request: PendingRequest
     assignments: tuple[Assignment, ...]
     started_ms: int
-    backing: Backing = Backing.BORROWED
+    kind: AllocationKind = AllocationKind.BORROWED
     stopping: bool = False
     pending: bool = False
     counts: dict[str, int] = field(default_factory=dict)
@@ -60,10 +60,10 @@
     draining: bool = False
     quarantined: bool = False
     requests: set[str] = field(default_factory=set)
-    promised: Amount = field(default_factory=Amount)
-    stopping: Amount = field(default_factory=Amount)
-    borrowed: Amount = field(default_factory=Amount)
-    borrowed_urgent: Amount = field(default_factory=Amount)
+    promised: Resources = field(default_factory=Resources)
+    stopping: Resources = field(default_factory=Resources)
+    borrowed: Resources = field(default_factory=Resources)
+    borrowed_urgent: Resources = field(default_factory=Resources)
 
     @property
     def name(self) -> str:
@@ -85,26 +85,26 @@
             room = min(room, self.free_memory // demand.memory_mb)
         return max(room, 0)
 
-    def free(self) -> Amount:
+    def free(self) -> Resources:
         """Return what is free and not promised."""
-        return Amount(self.free_accelerators, self.free_slots, self.free_cpu, self.free_memory)
+        return Resources(self.free_accelerators, self.free_slots, self.free_cpu, self.free_memory)
 
-    def vacant(self) -> Amount:
+    def vacant(self) -> Resources:
         """Return what nothing runs on, promised or not."""
         return self.free().plus(self.promised)
 
-    def after_reclaim(self, urgent_too: bool) -> Amount:
+    def after_reclaim(self, urgent_too: bool) -> Resources:
         """Return what would be free if all that is borrowed were taken back."""
-        amount = self.free().plus(self.stopping).plus(self.borrowed)
-        return amount.plus(self.borrowed_urgent) if urgent_too else amount
+        resources = self.free().plus(self.stopping).plus(self.borrowed)
+        return resources.plus(self.borrowed_urgent) if urgent_too else resources
 
-    def book_for(self, allocation: Allocation) -> Amount | None:
+    def book_for(self, allocation: Allocation) -> Resources | None:
         """Return the sum that an allocation belongs to, if any."""
         if allocation.pending:
             return self.promised
         if allocation.stopping:
             return self.stopping
-        if allocation.backing is not Backing.BORROWED:
+        if allocation.kind is not AllocationKind.BORROWED:
             return None
         if allocation.request.urgency is Urgency.URGENT:
             return self.borrowed_urgent
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/topology.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/topology.py
@@ -4,7 +4,7 @@
 
 from agateferry_core.demand import Worker
 from agateferry_scheduling.topology.index import FreedLog, WorkerIndex
-from agateferry_scheduling.topology.state import Allocation, Backing, RackState, WorkerState
+from agateferry_scheduling.topology.state import Allocation, AllocationKind, RackState, WorkerState
 
 
 class Topology:
@@ -91,13 +91,13 @@
     def change(
         self,
         allocation: Allocation,
-        backing: Backing | None = None,
+        kind: AllocationKind | None = None,
         stopping: bool | None = None,
         pending: bool | None = None,
     ) -> None:
         """Change an allocation's standing and keep the sums of its workers right."""
         self._book(allocation, -1)
-        allocation.backing = allocation.backing if backing is None else backing
+        allocation.kind = allocation.kind if kind is None else kind
         allocation.stopping = allocation.stopping if stopping is None else stopping
         allocation.pending = allocation.pending if pending is None else pending
         self._book(allocation, 1)
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/cluster.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/cluster.py
@@ -9,7 +9,7 @@
 
 from agateferry_core.demand import Adjacency, Assignment, Demand, Urgency, Worker
 from agateferry_scheduling.scheduler.messages import PendingRequest
-from agateferry_scheduling.topology.amount import Amount, whole
+from agateferry_scheduling.topology.resources import Resources, whole
 
 
 class BrokenInvariant(AssertionError):  # noqa: N818
@@ -33,7 +33,7 @@
     """The workers that are up, what runs on them, and which are broken."""
 
     workers: dict[str, Worker] = field(default_factory=dict)
-    free: dict[str, Amount] = field(default_factory=dict)
+    free: dict[str, Resources] = field(default_factory=dict)
     runs: dict[str, Run] = field(default_factory=dict)
     broken: set[str] = field(default_factory=set)
     leaving: set[str] = field(default_factory=set)
@@ -83,7 +83,7 @@
 
     def could_hold_urgent(self, demand: Demand) -> bool:
         """Tell whether an urgent single task would fit if all other work that may stop did."""
-        fixed: dict[str, Amount] = {name: Amount() for name in self.workers}
+        fixed: dict[str, Resources] = {name: Resources() for name in self.workers}
         for run in self.runs.values():
             if run.request.preemptible and run.request.urgency is not Urgency.URGENT:
                 continue
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/meter.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/meter.py
@@ -11,7 +11,7 @@
     SchedulingConfig,
     Team,
 )
-from agateferry_scheduling.topology.amount import share
+from agateferry_scheduling.topology.resources import share
 from agateferry_scheduling.traces.cluster import Cluster, Run
 from agateferry_scheduling.traces.report import Report, Sample, spread
 
@@ -73,7 +73,7 @@
         if span_ms <= 0 or not self.cluster.workers:
             return
         total = sum(worker.accelerators for worker in self.cluster.workers.values())
-        free = sum(amount.accelerators for amount in self.cluster.free.values())
+        free = sum(resources.accelerators for resources in self.cluster.free.values())
         self._total_ms += total * span_ms
         self._used_ms += (total - free) * span_ms
         self._stranded_ms += self._stranded(free) * span_ms
