--- a/packages/agateferry-cli/agateferry_cli/client/views.py
+++ b/packages/agateferry-cli/agateferry_cli/client/views.py
@@ -153,7 +153,7 @@
     log: LogView | None = None
 
 
-class SteeringView(View):
+class MembershipChangeView(View):
     """What a change of members did, or would do, and what may be lost by it."""
 
     asked: str
--- a/packages/agateferry-cli/agateferry_cli/main.py
+++ b/packages/agateferry-cli/agateferry_cli/main.py
@@ -10,7 +10,7 @@
 
 from agateferry_cli import __version__
 from agateferry_cli.client import ExitCode
-from agateferry_cli.verbs import cell, records, steering
+from agateferry_cli.verbs import cell, membership, records
 from agateferry_cli.verbs.analyze import analyze
 from agateferry_cli.verbs.cancel import cancel
 from agateferry_cli.verbs.check_config import check_config
@@ -45,8 +45,8 @@
     "explain": explain,
     "cell": {
         "status": cell.status,
-        "replace": steering.replace,
-        "recover": steering.recover,
+        "replace": membership.replace,
+        "recover": membership.recover,
     },
     "check-config": check_config,
     "replay": replay,
--- a/packages/agateferry-cli/agateferry_cli/verbs/steering.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/membership.py
@@ -11,7 +11,7 @@
 
 from agateferry_cli.client import Answer, Client, ExitCode, Failure, Port
 from agateferry_cli.client.client import Call
-from agateferry_cli.client.views import SteeringView, view_of
+from agateferry_cli.client.views import MembershipChangeView, view_of
 from agateferry_cli.output import Output
 from agateferry_cli.verbs.run import run_verb
 
@@ -85,7 +85,7 @@
         answer = await client.call(Call("POST", path, body | {"dry_run": is_trial}))
         if answer.is_error():
             return Error(answer.error)
-        view = view_of(SteeringView, answer.ok.body)
+        view = view_of(MembershipChangeView, answer.ok.body)
         if view.is_error():
             return Error(view.error)
         _show(output, answer.ok, view.ok)
@@ -96,7 +96,7 @@
     return run_verb(Port.OPERATORS, operators, output, verb)
 
 
-def _show(output: Output, answer: Answer, view: SteeringView) -> None:
+def _show(output: Output, answer: Answer, view: MembershipChangeView) -> None:
     if output.as_json:
         output.json(answer.body)
         return
@@ -112,7 +112,7 @@
         output.line(f"warning: {warning}")
 
 
-def _outcome(view: SteeringView) -> str:
+def _outcome(view: MembershipChangeView) -> str:
     group = f"the cell of {view.zone}" if view.group == "cell" else "the records plane"
     if not view.changed:
         return f"{group} is so already, says {view.asked}; nothing is changed"
--- a/packages/agateferry-service/agateferry_service/daemon/host.py
+++ b/packages/agateferry-service/agateferry_service/daemon/host.py
@@ -26,7 +26,7 @@
 from agateferry_service.http.server import HttpServer
 from agateferry_service.operators.app import Operators
 from agateferry_service.operators.hosts import Hosts
-from agateferry_service.operators.steering import Group, Steering
+from agateferry_service.operators.membership import Group, MembershipChanges
 from agateferry_service.records.follower import RecordsFollower
 from agateferry_service.records.plane import RecordsPlane, WatchedRecords
 from agateferry_service.records.servicer import RecordsServicer
@@ -183,7 +183,7 @@
             self.records_calls,
             self.cell.ctx.machine.records,
             hosts,
-            Steering(settings, self.nodes, hosts, self.metrics),
+            MembershipChanges(settings, self.nodes, hosts, self.metrics),
             limits,
             self.metrics,
             lambda: self.is_ready,
--- a/packages/agateferry-service/agateferry_service/http/server.py
+++ b/packages/agateferry-service/agateferry_service/http/server.py
@@ -56,7 +56,7 @@
     return type("BoundedHead", (BoundedHeadProtocol,), {"head_s": head_ms / 1000})
 
 
-class QuietServer(uvicorn.Server):
+class UvicornServerWithoutSignals(uvicorn.Server):
     """A uvicorn server that leaves signals to the daemon."""
 
     @contextlib.contextmanager
@@ -85,7 +85,7 @@
             timeout_keep_alive=30,
             server_header=False,
         )
-        self._server = QuietServer(cfg)
+        self._server = UvicornServerWithoutSignals(cfg)
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
--- a/packages/agateferry-service/agateferry_service/operators/app.py
+++ b/packages/agateferry-service/agateferry_service/operators/app.py
@@ -16,7 +16,7 @@
 from agateferry_service.http.bodies import read_model
 from agateferry_service.http.problems import problem, refused
 from agateferry_service.operators.hosts import Hosts
-from agateferry_service.operators.steering import Steering
+from agateferry_service.operators.membership import MembershipChanges
 from agateferry_service.records.plane import NEWEST, read_records
 from agateferry_service.routing.calls import CellCalls, RecordsCalls
 from agateferry_service.routing.zones import Zones
@@ -50,7 +50,7 @@
         records_calls: RecordsCalls,
         copy: RecordStore,
         hosts: Hosts,
-        steering: Steering,
+        membership_changes: MembershipChanges,
         limits: LimitSettings,
         metrics: Metrics,
         is_ready: Callable[[], bool],
@@ -62,7 +62,7 @@
         self._records_calls = records_calls
         self._copy = copy
         self._hosts = hosts
-        self._steering = steering
+        self._membership_changes = membership_changes
         self._limits = limits
         self._metrics = metrics
         self._is_ready = is_ready
@@ -83,7 +83,7 @@
                 Route("/v1/requests/{id}/explain", self.explain, methods=["GET"]),
                 Route("/v1/cell", self.cell, methods=["GET"]),
                 Route("/v1/cells", self.cells, methods=["GET"]),
-                *self._steering.routes(),
+                *self._membership_changes.routes(),
                 Route("/healthz", self.healthz, methods=["GET"]),
                 Route("/readyz", self.readyz, methods=["GET"]),
                 Route("/metrics", self.metrics, methods=["GET"]),
--- a/packages/agateferry-service/agateferry_service/operators/steering.py
+++ b/packages/agateferry-service/agateferry_service/operators/membership.py
@@ -63,7 +63,7 @@
     dry_run: bool = False
 
 
-class Steering:
+class MembershipChanges:
     """Carry out an operator's change of members, or tell what it would do."""
 
     def __init__(
--- a/packages/agateferry-service/agateferry_service/operators/tests/test_steering.py
+++ b/packages/agateferry-service/agateferry_service/operators/tests/test_membership.py
@@ -5,7 +5,7 @@
 
 from agateferry_core.support import run_async
 from agateferry_service.daemon.tests.support import running_host
-from agateferry_service.operators.steering import Group, RecoveryBody, Steering
+from agateferry_service.operators.membership import Group, MembershipChanges, RecoveryBody
 from agateferry_state.members import Member, MemberId, Members
 from agateferry_state.replica import Applied, MemberStatus, ProposeError, ProposeErrorKind
 
@@ -85,13 +85,13 @@
         self.assertIn("not named: a2", refused.detail)
 
     def recover(self, lost, answering=None):
-        steering = Steering(
+        membership_changes = MembershipChanges(
             SimpleNamespace(host=SimpleNamespace(name="a1", zone="z"), peers=()),
             {Group.CELL: LeftNode()},
             OtherHost(answering),
             None,
         )
-        return run_async(steering._recover(RecoveryBody(group=Group.CELL, lost=lost)))
+        return run_async(membership_changes._recover(RecoveryBody(group=Group.CELL, lost=lost)))
 
 
 class LeftNode:
