--- a/packages/agateferry-jobs/agateferry_jobs/calls/messages.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/messages.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from agateferry_jobs.ledger.specs import JobSpec
-from agateferry_jobs.ledger.state import JobState, WorkerLife
+from agateferry_jobs.ledger.state import JobState, WorkerIncarnation
 from agateferry_jobs.manifest import Manifest
 
 
@@ -43,7 +43,7 @@
 class Beat(Struct, frozen=True, tag="beat"):
     """Bring a worker's word about itself; `remaining_ms` is what a draining one has left."""
 
-    worker: WorkerLife
+    worker: WorkerIncarnation
     sequence: int
     clock_ms: int = 0
     remaining_ms: int | None = None
--- a/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
@@ -230,16 +230,16 @@
             if not session.health(False).answers:
                 continue
             for key, tracked in list(session.runs.items()):
-                if not _is_hung(tracked, now_ms) or self._lasts(key):
+                if not _is_hung(tracked, now_ms) or self._is_long_running(key):
                     continue
                 run = tracked.run
                 if self._doubts.note_failed(run.worker, run.born, key[0], now_ms, weight=2):
                     self._log.warning(events.WORKER_SUSPECT, worker=run.worker, reason="hung run")
                 self._stop_run(key, run, "no progress")
 
-    def _lasts(self, key: RunKey) -> bool:
+    def _is_long_running(self, key: RunKey) -> bool:
         job = self._ledger.jobs.get(key[0])
-        return job is None or job.step_of(key[1]).lasts
+        return job is None or job.step_of(key[1]).is_long_running
 
     def _stop_run(self, key: RunKey, run: Run, reason: str, **inputs: str | int) -> None:
         if self._roster.stop(key, run):
@@ -264,12 +264,12 @@
             subtask=end.subtask,
             run=run.number,
             worker=run.worker,
-            how=end.how,
+            how=end.outcome,
         )
-        metrics.RUNS_ENDED.labels(end.how.value).inc()
-        if end.how is c.RunEnd.DONE:
+        metrics.RUNS_ENDED.labels(end.outcome.value).inc()
+        if end.outcome is c.RunOutcome.DONE:
             self._doubts.note_done(run.worker, run.born)
-        elif end.how is c.RunEnd.FAILED:
+        elif end.outcome is c.RunOutcome.FAILED:
             now_ms = self._clock.now_ms()
             if self._doubts.note_failed(run.worker, run.born, end.job, now_ms):
                 self._log.warning(events.WORKER_SUSPECT, worker=run.worker, reason="failed runs")
--- a/packages/agateferry-jobs/agateferry_jobs/cell/roster.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/roster.py
@@ -8,7 +8,7 @@
 from agateferry_jobs.calls import messages as m
 from agateferry_jobs.cell import events
 from agateferry_jobs.cell.proposing import Proposer, reply_for
-from agateferry_jobs.ledger import Ledger, Run, WorkerLife, WorkerState
+from agateferry_jobs.ledger import Ledger, Run, WorkerIncarnation, WorkerState
 from agateferry_jobs.ledger import commands as c
 from agateferry_jobs.planning import WorkerHealth
 from agateferry_jobs.planning.fleet import RunKey
@@ -60,8 +60,8 @@
     def fill(self) -> None:
         """Open the sessions of all lives in the ledger and adopt what may run there."""
         unknown_until_ms = self._clock.now_ms() + longest_local_ms(self._lease_ms)
-        for life in self._ledger.workers.values():
-            self._open(life, unknown_until_ms)
+        for incarnation in self._ledger.workers.values():
+            self._open(incarnation, unknown_until_ms)
         lost = self._adopt_all()
         if lost:
             self._owner.spawn(self._lose(lost))
@@ -74,41 +74,41 @@
 
     async def on_beat(self, beat: m.Beat) -> m.Reply:
         """Take in what a worker says of itself; an answer says that it is stored."""
-        life = beat.worker
-        key = (life.id, life.born)
+        incarnation = beat.worker
+        key = (incarnation.id, incarnation.born)
         if beat.sequence < self._sequences.get(key, -1):
             return m.Done()
-        known = self._ledger.workers.get(life.id)
-        if known != life and not self._is_outdated(life):
-            outcome = await self._proposer.propose(c.NoteWorker(life))
+        known = self._ledger.workers.get(incarnation.id)
+        if known != incarnation and not self._is_outdated(incarnation):
+            outcome = await self._proposer.propose(c.NoteWorker(incarnation))
             if outcome.is_error():
                 return reply_for(outcome.error)
             if outcome.ok:
                 self._log.info(
                     events.WORKER_NOTED,
-                    worker=life.id,
-                    born=life.born,
-                    state=life.state,
-                    rack=life.rack,
+                    worker=incarnation.id,
+                    born=incarnation.born,
+                    state=incarnation.state,
+                    rack=incarnation.rack,
                 )
-                await self._renew(life)
+                await self._renew(incarnation)
         self._sequences[key] = beat.sequence
-        session = self.sessions.get(life.id)
-        if session is not None and session.life.born == life.born:
+        session = self.sessions.get(incarnation.id)
+        if session is not None and session.incarnation.born == incarnation.born:
             session.note_beat()
         return m.Done()
 
     async def on_leave(self, worker: str) -> m.Reply:
         """Take in that a worker ends; what ran there is over."""
-        life = self._ledger.workers.get(worker)
-        if life is not None and not await self._remove(life):
+        incarnation = self._ledger.workers.get(worker)
+        if incarnation is not None and not await self._remove(incarnation):
             return m.Uncertain("not stored")
         return m.Done()
 
     def start(self, start: c.RunStart, payload: str) -> None:
         """Order a run whose intent is stored."""
         session = self.sessions.get(start.run.worker)
-        if session is not None and session.life.born == start.run.born:
+        if session is not None and session.incarnation.born == start.run.born:
             session.start(start, payload)
         else:
             self._owner.spawn(self._lose((_lost((start.job, start.subtask), start.run),)))
@@ -134,7 +134,7 @@
     def health(self, is_suspect: Callable[[str, int], bool]) -> dict[str, WorkerHealth]:
         """Return what the planner needs to know of each worker."""
         return {
-            id: session.health(is_suspect(id, session.life.born))
+            id: session.health(is_suspect(id, session.incarnation.born))
             for id, session in self.sessions.items()
         }
 
@@ -162,48 +162,53 @@
         """Plan soon."""
         self._owner.on_change()
 
-    def on_other_life(self, life: WorkerLife) -> None:
+    def on_other_life(self, incarnation: WorkerIncarnation) -> None:
         """Conclude the runs of a life that is over; its successor makes itself known."""
-        self._owner.spawn(self._remove(life))
+        self._owner.spawn(self._remove(incarnation))
 
-    def _is_outdated(self, life: WorkerLife) -> bool:
+    def _is_outdated(self, incarnation: WorkerIncarnation) -> bool:
         """Tell whether a younger life is known at the same address."""
         return any(
-            other.address == life.address and other.born > life.born
+            other.address == incarnation.address and other.born > incarnation.born
             for other in self._ledger.workers.values()
         )
 
-    async def _renew(self, life: WorkerLife) -> None:
+    async def _renew(self, incarnation: WorkerIncarnation) -> None:
         """Open a session for a new life and conclude the lives that it follows."""
-        session = self.sessions.get(life.id)
-        if session is not None and session.life.born == life.born:
-            session.life = life
+        session = self.sessions.get(incarnation.id)
+        if session is not None and session.incarnation.born == incarnation.born:
+            session.incarnation = incarnation
             self.on_change()
             return
         if session is not None:
             await self._close(session)
         for other in list(self._ledger.workers.values()):
-            if other.address == life.address and other.born < life.born:
+            if other.address == incarnation.address and other.born < incarnation.born:
                 await self._remove(other)
-        self._open(life, unknown_until_ms=0)
-
-    async def _remove(self, life: WorkerLife) -> bool:
-        gone = WorkerLife(
-            life.id, life.born, life.service, life.address, life.zone, life.capacity,
+        self._open(incarnation, unknown_until_ms=0)
+
+    async def _remove(self, incarnation: WorkerIncarnation) -> bool:
+        gone = WorkerIncarnation(
+            incarnation.id,
+            incarnation.born,
+            incarnation.service,
+            incarnation.address,
+            incarnation.zone,
+            incarnation.capacity,
             state=WorkerState.GONE,
-        )  # fmt: skip
+        )
         outcome = await self._proposer.propose(c.NoteWorker(gone))
         if outcome.is_error():
             return False
-        self._log.info(events.WORKER_GONE, worker=life.id, born=life.born)
-        session = self.sessions.get(life.id)
-        if session is not None and session.life.born == life.born:
+        self._log.info(events.WORKER_GONE, worker=incarnation.id, born=incarnation.born)
+        session = self.sessions.get(incarnation.id)
+        if session is not None and session.incarnation.born == incarnation.born:
             await self._close(session)
         return True
 
     async def _close(self, session: WorkerSession) -> None:
         ends = session.lose_all()
-        self.sessions.pop(session.life.id, None)
+        self.sessions.pop(session.incarnation.id, None)
         await session.close()
         await self._lose(ends)
 
@@ -215,10 +220,10 @@
             if session is not None:
                 session.forget((end.job, end.subtask), end.run)
 
-    def _open(self, life: WorkerLife, unknown_until_ms: int) -> None:
+    def _open(self, incarnation: WorkerIncarnation, unknown_until_ms: int) -> None:
         lease = Lease(self._lease_ms, unknown_until_ms)
-        self.sessions[life.id] = WorkerSession(
-            life, self._make_port(life), self, self._clock, lease
+        self.sessions[incarnation.id] = WorkerSession(
+            incarnation, self._make_port(incarnation), self, self._clock, lease
         )
 
     def _adopt_all(self) -> tuple[c.RunEnded, ...]:
@@ -233,7 +238,7 @@
                 if run is None:
                     continue
                 session = self.sessions.get(run.worker)
-                if session is None or session.life.born != run.born:
+                if session is None or session.incarnation.born != run.born:
                     lost.append(_lost((job.id, name), run))
                 else:
                     session.adopt((job.id, name), run)
@@ -241,4 +246,4 @@
 
 
 def _lost(key: RunKey, run: Run) -> c.RunEnded:
-    return c.RunEnded(key[0], key[1], run, c.RunEnd.LOST)
+    return c.RunEnded(key[0], key[1], run, c.RunOutcome.LOST)
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
@@ -14,7 +14,7 @@
 from agateferry_jobs.calls import messages as m
 from agateferry_jobs.cell.leader import Leader
 from agateferry_jobs.ledger import Ledger
-from agateferry_jobs.ledger.specs import Amount, JobSpec, StepSpec
+from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.planning.fleet import Seat
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
 from agateferry_jobs.support.making import ROOM
@@ -27,7 +27,7 @@
 BEAT_TICKS = 75
 PROGRESS = 0.1
 SETTLE_S = 90
-HALF = Amount(cpu=1000, mem_mb=100, gpu=4)
+HALF = Resources(cpu=1000, mem_mb=100, gpu=4)
 SINGLE = JobSpec("payload", (StepSpec(2, HALF),))
 GANG = JobSpec("payload", (StepSpec(3, HALF, is_gang=True),))
 LEASE_MS = 3000
@@ -44,8 +44,8 @@
         self.clock = loop
         self.rng = random.Random(seed)
         self.ledger = Ledger()
-        self.lives = {f"w{number}": worker(f"w{number}") for number in range(3)}
-        self.ports = {id: self.new_port(1) for id in self.lives}
+        self.incarnations = {f"w{number}": worker(f"w{number}") for number in range(3)}
+        self.ports = {id: self.new_port(1) for id in self.incarnations}
         self.orders = []
         self.started_done = None
         self.ids = [f"{number:016x}" for number in range(8)]
@@ -71,10 +71,10 @@
         job = self.ledger.jobs.get(key[0])
         return job is not None and key[1] in job.subtasks and job.subtasks[key[1]].is_done
 
-    def port_to(self, life):
-        port = self.ports[life.id]
-        if port.born != life.born:
-            port = self.new_port(life.born)
+    def port_to(self, incarnation):
+        port = self.ports[incarnation.id]
+        if port.born != incarnation.born:
+            port = self.new_port(incarnation.born)
             port.is_other = True
         return port
 
@@ -121,9 +121,9 @@
     async def end_a_run(self):
         port = self.any_port()
         if port.running:
-            how = self.rng.choice(("done", "done", "failed"))
+            outcome = self.rng.choice(("done", "done", "failed"))
             key = self.rng.choice(sorted(port.running))
-            port.end(key, how if how == "failed" or self.is_whole(key[0]) else "alone")
+            port.end(key, outcome if outcome == "failed" or self.is_whole(key[0]) else "alone")
 
     def is_whole(self, job):
         """Tell whether all members of a gang are at work; before that none can be done."""
@@ -161,9 +161,9 @@
         old = self.ports[id]
         old.is_other = True
         old.running.clear()
-        self.lives[id] = worker(id, born=old.born + 1)
+        self.incarnations[id] = worker(id, born=old.born + 1)
         self.ports[id] = self.new_port(old.born + 1)
-        await self.leader.handle(m.Beat(self.lives[id], 1))
+        await self.leader.handle(m.Beat(self.incarnations[id], 1))
 
     async def change_leader(self):
         self.replica.lead(False)
@@ -195,7 +195,7 @@
     async def beat(self):
         for id, port in self.ports.items():
             if not port.is_cut and self.replica.is_leader:
-                await self.leader.handle(m.Beat(self.lives[id], self.clock.now_ms()))
+                await self.leader.handle(m.Beat(self.incarnations[id], self.clock.now_ms()))
 
     def check(self):
         self.check_once()
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
@@ -9,12 +9,12 @@
 from agateferry_jobs.cell.leader import HUNG_MS, PLAN_REST, Leader
 from agateferry_jobs.ledger import JobState, Ledger, WorkerState
 from agateferry_jobs.ledger import commands as c
-from agateferry_jobs.ledger.specs import Amount, JobSpec, StepSpec
+from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
 from agateferry_jobs.support.making import NEED
 from agateferry_state.replica.protocols import ProposeErrorKind
 
-WHOLE = Amount(cpu=1000, mem_mb=100, gpu=8)
+WHOLE = Resources(cpu=1000, mem_mb=100, gpu=8)
 JOB = JobSpec("payload", (StepSpec(1, NEED),))
 ID = "5c0e7a21d94b36f8"
 
@@ -40,17 +40,17 @@
 
         run_async(main())
 
-    def port_to(self, life):
-        known = self.ports.get(life.id)
-        if known is None or known.born != life.born:
-            known = self.ports[life.id] = ModelWorker(self.clock, life.born)
+    def port_to(self, incarnation):
+        known = self.ports.get(incarnation.id)
+        if known is None or known.born != incarnation.born:
+            known = self.ports[incarnation.id] = ModelWorker(self.clock, incarnation.born)
         return known
 
     async def ask(self, ask):
         return await self.leader.handle(ask)
 
-    async def beat(self, life, sequence=1):
-        return await self.ask(m.Beat(life, sequence))
+    async def beat(self, incarnation, sequence=1):
+        return await self.ask(m.Beat(incarnation, sequence))
 
     async def until(self, condition, what):
         for _ in range(600):
@@ -217,7 +217,7 @@
             await self.until(lambda: self.ports["w1"].starts, "one member")
             async with asyncio.timeout(HUNG_MS / 2 / 1000):
                 await self.running_on("w1", 0)
-            self.assertEqual("stopped", self.ports["w1"].how_first_ended)
+            self.assertEqual("stopped", self.ports["w1"].first_outcome)
 
         self.check(scenario)
 
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
@@ -56,7 +56,9 @@
             control=None,
             metrics_port=0,
         )
-        return CellHost(cfg, self.clock, lambda life: ModelWorker(self.clock, life.born))
+        return CellHost(
+            cfg, self.clock, lambda incarnation: ModelWorker(self.clock, incarnation.born)
+        )
 
     async def kill(self, host):
         """End a host as a killed process ends: nothing is synced, told or handed on."""
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/commands.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/commands.py
@@ -3,14 +3,14 @@
 from enum import StrEnum
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from agateferry_jobs.ledger.specs import JobSpec
-from agateferry_jobs.ledger.state import Run, WorkerLife
+from agateferry_jobs.ledger.state import Run, WorkerIncarnation
 from agateferry_jobs.manifest import Manifest
 
 
-class RunEnd(StrEnum):
+class RunOutcome(StrEnum):
     """How a run ended; `LOST` and `REFUSED` are concluded here, the others told by the worker."""
 
     DONE = "done"
@@ -38,7 +38,7 @@
     job: str
     subtask: str
     run: Run
-    how: RunEnd
+    outcome: RunOutcome = field(name="how")
     checkpoint: str = ""
 
 
@@ -71,7 +71,7 @@
 class NoteWorker(Struct, frozen=True, tag="worker"):
     """Store a worker's life, or its new state."""
 
-    worker: WorkerLife
+    worker: WorkerIncarnation
 
 
 class StartRuns(Struct, frozen=True, tag="start"):
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/lengths.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/durations.py
@@ -19,7 +19,7 @@
 """A floor under both variances, a spread of a tenth, so that equal runs do not count as certain."""
 
 
-class LengthRecord(Struct):
+class DurationEstimate(Struct):
     """Sums over the runs of one queue; lengths are natural logarithms of ms."""
 
     runs: int = 0
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
@@ -11,13 +11,13 @@
 from msgspec import Struct, field
 
 from agateferry_jobs.ledger import commands as c
-from agateferry_jobs.ledger.lengths import LengthRecord
+from agateferry_jobs.ledger.durations import DurationEstimate
 from agateferry_jobs.ledger.specs import JobSpec
 from agateferry_jobs.ledger.state import (
     Gang,
     Job,
     Subtask,
-    WorkerLife,
+    WorkerIncarnation,
     WorkerState,
     gang_of,
 )
@@ -32,10 +32,10 @@
 
     manifest: Manifest | None = None
     jobs: dict[str, Job] = field(default_factory=dict)
-    workers: dict[str, WorkerLife] = field(default_factory=dict)
+    workers: dict[str, WorkerIncarnation] = field(default_factory=dict)
     gone: dict[str, int] = field(default_factory=dict)
     """For each worker that left, the start of its last life; its late words are dropped."""
-    lengths: dict[str, LengthRecord] = field(default_factory=dict)
+    lengths: dict[str, DurationEstimate] = field(default_factory=dict)
     """How long runs really take, by queue."""
 
 
@@ -58,7 +58,7 @@
         return self.state.jobs
 
     @property
-    def workers(self) -> dict[str, WorkerLife]:
+    def workers(self) -> dict[str, WorkerIncarnation]:
         """Return the newest life of each worker by id."""
         return self.state.workers
 
@@ -131,7 +131,7 @@
             _drop_idle(job)
         return True
 
-    def _note_worker(self, worker: WorkerLife) -> bool:
+    def _note_worker(self, worker: WorkerIncarnation) -> bool:
         known = self.workers.get(worker.id)
         if known is not None and worker.born < known.born:
             return False
@@ -178,20 +178,20 @@
         _settle(job, at_ms)
         if job.is_over:
             _drop_idle(job)
-        return was_active or end.how is c.RunEnd.DONE
+        return was_active or end.outcome is c.RunOutcome.DONE
 
     def _note_length(self, job: Job, subtask: Subtask, end: c.RunEnded, at_ms: int) -> None:
         """Learn from a run that did all of its work by itself."""
         step = job.step_of(end.subtask)
-        if end.how is c.RunEnd.DONE and not step.lasts and not subtask.checkpoint:
-            record = self.state.lengths.setdefault(job.queue, LengthRecord())
+        if end.outcome is c.RunOutcome.DONE and not step.is_long_running and not subtask.checkpoint:
+            record = self.state.lengths.setdefault(job.queue, DurationEstimate())
             record.note(step.estimated_ms, at_ms - subtask.started_ms)
 
     def _count(self, job: Job, subtask: Subtask, end: c.RunEnded, was_active: bool) -> None:
         step = job.step_of(end.subtask)
-        if end.how is c.RunEnd.DONE and not step.lasts:
+        if end.outcome is c.RunOutcome.DONE and not step.is_long_running:
             _mark_done(job, end)
-        if end.how is c.RunEnd.FAILED and was_active:
+        if end.outcome is c.RunOutcome.FAILED and was_active:
             subtask.failures += 1
             gang = job.gangs[gang_of(end.subtask)]
             if end.run.number > gang.failed_run:
@@ -199,7 +199,7 @@
                 gang.failures += 1
 
 
-def _is_step_back(known: WorkerLife, word: WorkerLife) -> bool:
+def _is_step_back(known: WorkerIncarnation, word: WorkerIncarnation) -> bool:
     """Tell whether a word is older than what is known: a life that drains is never ready again."""
     return known.state is WorkerState.DRAINING and word.state is WorkerState.READY
 
@@ -224,7 +224,7 @@
         return
     for name, subtask in job.subtasks.items():
         step = job.step_of(name)
-        if subtask.is_done or step.lasts:
+        if subtask.is_done or step.is_long_running:
             continue
         failures = subtask.failures
         if step.is_gang and subtask.last_run:
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
@@ -2,34 +2,34 @@
 
 from collections.abc import Sequence
 
-from msgspec import Struct
+from msgspec import Struct, field
 
 
-class Amount(Struct, frozen=True):
+class Resources(Struct, frozen=True):
     """What a subtask needs or a worker has: thousandths of a core, MB of memory, accelerators."""
 
     cpu: int = 0
     mem_mb: int = 0
     gpu: int = 0
 
-    def fits(self, room: "Amount") -> bool:
+    def fits(self, room: "Resources") -> bool:
         """Tell whether this fits into `room`."""
         return self.cpu <= room.cpu and self.mem_mb <= room.mem_mb and self.gpu <= room.gpu
 
-    def plus(self, other: "Amount") -> "Amount":
+    def plus(self, other: "Resources") -> "Resources":
         """Return the sum."""
-        return Amount(self.cpu + other.cpu, self.mem_mb + other.mem_mb, self.gpu + other.gpu)
+        return Resources(self.cpu + other.cpu, self.mem_mb + other.mem_mb, self.gpu + other.gpu)
 
-    def minus(self, other: "Amount") -> "Amount":
+    def minus(self, other: "Resources") -> "Resources":
         """Return the difference, which may be negative."""
-        return Amount(self.cpu - other.cpu, self.mem_mb - other.mem_mb, self.gpu - other.gpu)
+        return Resources(self.cpu - other.cpu, self.mem_mb - other.mem_mb, self.gpu - other.gpu)
 
 
 class StepSpec(Struct, frozen=True):
     """Subtasks that are alike; see docs/design/platform.md for what each field asks of placing."""
 
     count: int
-    need: Amount
+    need: Resources
     estimated_ms: int = 0
     depends_on: tuple[int, ...] = ()
     is_gang: bool = False
@@ -38,8 +38,8 @@
     data_rack: str = ""
     max_per_worker: int = 0
     saves_checkpoints: bool = False
-    may_copy: bool = False
-    lasts: bool = False
+    is_speculative: bool = field(default=False, name="may_copy")
+    is_long_running: bool = field(default=False, name="lasts")
     image: str = ""
     target_ms: int = 0
     fills: bool = False
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/state.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/state.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct, field
 
-from agateferry_jobs.ledger.specs import Amount, JobSpec, StepSpec
+from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 
 
 class JobState(StrEnum):
@@ -25,7 +25,7 @@
     GONE = "gone"
 
 
-class WorkerLife(Struct):
+class WorkerIncarnation(Struct):
     """One life of a worker: `born` differs where it starts again under the same id."""
 
     id: str
@@ -33,7 +33,7 @@
     service: str
     address: str
     zone: str
-    capacity: Amount
+    capacity: Resources
     labels: tuple[str, ...] = ()
     slots: int = 0
     machine: str = ""
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_lengths.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
@@ -3,7 +3,7 @@
 
 from agateferry_jobs.ledger import Ledger
 from agateferry_jobs.ledger import commands as c
-from agateferry_jobs.ledger.lengths import MIN_RUNS, LengthRecord
+from agateferry_jobs.ledger.durations import MIN_RUNS, DurationEstimate
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.support import job_command, start_of
 from agateferry_jobs.support.making import NEED
@@ -11,7 +11,7 @@
 
 class ExpectedTests(testtools.TestCase):
     def record(self, *pairs):
-        record = LengthRecord()
+        record = DurationEstimate()
         for declared_ms, real_ms in pairs:
             record.note(declared_ms, real_ms)
         return record
@@ -41,23 +41,23 @@
     def do(self, command):
         return self.ledger.apply(1, c.encode(command))
 
-    def end(self, id, how, checkpoint=""):
+    def end(self, id, outcome, checkpoint=""):
         self.do(job_command(id, StepSpec(1, NEED, estimated_ms=1000)))
         start = start_of(id, "0.0.0")
         self.do(c.StartRuns((start,), 100))
         if checkpoint:
             self.ledger.jobs[id].subtasks["0.0.0"].checkpoint = checkpoint
-        self.do(c.EndRuns((c.RunEnded(id, "0.0.0", start.run, how),), 4100))
+        self.do(c.EndRuns((c.RunEnded(id, "0.0.0", start.run, outcome),), 4100))
 
     def test_runs_that_did_all_their_work_count(self):
-        self.end("done", c.RunEnd.DONE)
-        self.end("failed", c.RunEnd.FAILED)
-        self.end("resumed", c.RunEnd.DONE, checkpoint="saved")
+        self.end("done", c.RunOutcome.DONE)
+        self.end("failed", c.RunOutcome.FAILED)
+        self.end("resumed", c.RunOutcome.DONE, checkpoint="saved")
         self.assertEqual(1, self.ledger.state.lengths["queue"].runs)
 
     def test_they_survive_a_snapshot(self):
         for number in range(MIN_RUNS):
-            self.end(f"j{number}", c.RunEnd.DONE)
+            self.end(f"j{number}", c.RunOutcome.DONE)
         before = self.ledger.expected_ms("queue", 1000)
         self.ledger.restore(self.ledger.snapshot())
         self.assertEqual(before, self.ledger.expected_ms("queue", 1000))
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
@@ -17,9 +17,9 @@
         self.index += 1
         return self.ledger.apply(self.index, c.encode(command))
 
-    def end(self, job, subtask, how, number=1, checkpoint=""):
+    def end(self, job, subtask, outcome, number=1, checkpoint=""):
         run = Run(number, "w1", 1)
-        return self.do(c.EndRuns((c.RunEnded(job, subtask, run, how, checkpoint),), 0))
+        return self.do(c.EndRuns((c.RunEnded(job, subtask, run, outcome, checkpoint),), 0))
 
     def start(self, *starts):
         return self.do(c.StartRuns(starts))
@@ -34,20 +34,26 @@
     def test_completes_when_all_subtasks_are_done(self):
         self.do(job_command("j", StepSpec(2, NEED)))
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
-        self.end("j", "0.0.0", c.RunEnd.DONE)
+        self.end("j", "0.0.0", c.RunOutcome.DONE)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
-        self.end("j", "0.0.1", c.RunEnd.DONE)
+        self.end("j", "0.0.1", c.RunOutcome.DONE)
         self.assertEqual(JobState.COMPLETED, self.ledger.jobs["j"].state)
 
     def test_only_failed_ends_count_as_attempts(self):
         self.do(job_command("j", attempts=2))
-        kinds = (c.RunEnd.LAPSED, c.RunEnd.FAILED, c.RunEnd.STOPPED, c.RunEnd.BROKEN, c.RunEnd.LOST)
-        for number, how in enumerate(kinds, 1):
+        kinds = (
+            c.RunOutcome.LAPSED,
+            c.RunOutcome.FAILED,
+            c.RunOutcome.STOPPED,
+            c.RunOutcome.BROKEN,
+            c.RunOutcome.LOST,
+        )
+        for number, outcome in enumerate(kinds, 1):
             self.start(start_of("j", "0.0.0", number))
-            self.end("j", "0.0.0", how, number)
+            self.end("j", "0.0.0", outcome, number)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
         self.start(start_of("j", "0.0.0", 6))
-        self.end("j", "0.0.0", c.RunEnd.FAILED, 6)
+        self.end("j", "0.0.0", c.RunOutcome.FAILED, 6)
         self.assertEqual(JobState.FAILED, self.ledger.jobs["j"].state)
 
     def test_a_cancelled_job_starts_nothing_and_stays_cancelled(self):
@@ -55,15 +61,15 @@
         self.start(start_of("j", "0.0.0"))
         self.do(c.CancelJob("j", 5))
         self.assertEqual((), self.start(start_of("j", "0.0.1")))
-        self.end("j", "0.0.0", c.RunEnd.DONE)
+        self.end("j", "0.0.0", c.RunOutcome.DONE)
         self.assertEqual(JobState.CANCELLED, self.ledger.jobs["j"].state)
 
     def test_subtasks_that_last_are_never_done(self):
-        self.do(job_command("j", StepSpec(1, NEED, lasts=True), attempts=1))
+        self.do(job_command("j", StepSpec(1, NEED, is_long_running=True), attempts=1))
         self.start(start_of("j", "0.0.0"))
-        self.end("j", "0.0.0", c.RunEnd.FAILED)
+        self.end("j", "0.0.0", c.RunOutcome.FAILED)
         self.start(start_of("j", "0.0.0", 2))
-        self.end("j", "0.0.0", c.RunEnd.DONE, 2)
+        self.end("j", "0.0.0", c.RunOutcome.DONE, 2)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
 
 
@@ -72,35 +78,35 @@
         self.do(job_command("j", StepSpec(2, NEED)))
         self.assertEqual(1, len(self.start(start_of("j", "0.0.0"))))
         self.assertEqual((), self.start(start_of("j", "0.0.0", 2, "w2")))
-        self.end("j", "0.0.0", c.RunEnd.DONE)
+        self.end("j", "0.0.0", c.RunOutcome.DONE)
         self.assertEqual((), self.start(start_of("j", "0.0.0", 2)))
 
     def test_run_numbers_only_rise(self):
         self.do(job_command("j"))
         self.start(start_of("j", "0.0.0", 3))
-        self.end("j", "0.0.0", c.RunEnd.STOPPED, 3)
+        self.end("j", "0.0.0", c.RunOutcome.STOPPED, 3)
         self.assertEqual((), self.start(start_of("j", "0.0.0", 3)))
 
     def test_a_done_that_was_listed_late_counts(self):
         self.do(job_command("j"))
         self.start(start_of("j", "0.0.0"))
-        self.end("j", "0.0.0", c.RunEnd.LOST)
-        self.end("j", "0.0.0", c.RunEnd.DONE)
+        self.end("j", "0.0.0", c.RunOutcome.LOST)
+        self.end("j", "0.0.0", c.RunOutcome.DONE)
         self.assertEqual(JobState.COMPLETED, self.ledger.jobs["j"].state)
 
     def test_a_failure_that_was_concluded_otherwise_does_not_count_twice(self):
         self.do(job_command("j", attempts=1))
         self.start(start_of("j", "0.0.0"))
-        self.end("j", "0.0.0", c.RunEnd.LOST)
-        self.end("j", "0.0.0", c.RunEnd.FAILED)
+        self.end("j", "0.0.0", c.RunOutcome.LOST)
+        self.end("j", "0.0.0", c.RunOutcome.FAILED)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
 
     def test_the_newest_checkpoint_is_kept(self):
         self.do(job_command("j"))
         self.start(start_of("j", "0.0.0"))
-        self.end("j", "0.0.0", c.RunEnd.STOPPED, 1, "first")
+        self.end("j", "0.0.0", c.RunOutcome.STOPPED, 1, "first")
         self.start(start_of("j", "0.0.0", 2))
-        self.end("j", "0.0.0", c.RunEnd.LOST, 2)
+        self.end("j", "0.0.0", c.RunOutcome.LOST, 2)
         self.assertEqual("first", self.ledger.jobs["j"].subtasks["0.0.0"].checkpoint)
 
 
@@ -111,12 +117,12 @@
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
 
     def test_one_member_done_stands_for_all(self):
-        self.end("j", "0.0.0", c.RunEnd.DONE)
+        self.end("j", "0.0.0", c.RunOutcome.DONE)
         self.assertEqual(JobState.COMPLETED, self.ledger.jobs["j"].state)
 
     def test_two_failures_in_one_run_count_once(self):
-        self.end("j", "0.0.0", c.RunEnd.FAILED)
-        self.end("j", "0.0.1", c.RunEnd.FAILED)
+        self.end("j", "0.0.0", c.RunOutcome.FAILED)
+        self.end("j", "0.0.1", c.RunOutcome.FAILED)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
 
 
--- a/packages/agateferry-jobs/agateferry_jobs/planning/choice.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/choice.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping, Sequence
 from typing import TYPE_CHECKING
 
-from agateferry_jobs.ledger.specs import Amount
+from agateferry_jobs.ledger.specs import Resources
 from agateferry_jobs.planning.fleet import Occupant, Seat
 from agateferry_jobs.planning.losses import Cost
 from agateferry_jobs.planning.ranks import BORROWED_RANK, LOWEST_RANK, RESERVED_RANK
@@ -119,7 +119,7 @@
             return [seats]
         racks: dict[str, list[Seat]] = defaultdict(list)
         for seat in seats:
-            racks[seat.life.rack].append(seat)
+            racks[seat.incarnation.rack].append(seat)
         return list(racks.values())
 
     def _fill(self, group: Sequence[Seat], count: int) -> tuple[Seat, ...] | None:
@@ -131,13 +131,18 @@
         return tuple(chosen) if len(chosen) == count else None
 
     def _could_ever_hold(self, group: Sequence[Seat], count: int) -> bool:
-        return sum(min(self._places(s, s.life.capacity), s.life.slots) for s in group) >= count
+        return (
+            sum(min(self._places(s, s.incarnation.capacity), s.incarnation.slots) for s in group)
+            >= count
+        )
 
-    def _places(self, seat: Seat, room: Amount) -> int:
+    def _places(self, seat: Seat, room: Resources) -> int:
         """Return how many subtasks fit into `room` on a worker."""
         need = self._step.need
         pairs = ((room.cpu, need.cpu), (room.mem_mb, need.mem_mb), (room.gpu, need.gpu))
-        places = min((have // want for have, want in pairs if want > 0), default=seat.life.slots)
+        places = min(
+            (have // want for have, want in pairs if want > 0), default=seat.incarnation.slots
+        )
         if self._step.max_per_worker:
             there = seat.count_of(self._wave.job, self._wave.gang)
             places = min(places, self._step.max_per_worker - there)
@@ -169,7 +174,7 @@
         room: Room = []
         slots = seat.free_slots + sum(1 for o in seat.occupants if o.is_stopping)
         ended: list[Occupant] = []
-        limit = min(count, self._places(seat, seat.life.capacity))
+        limit = min(count, self._places(seat, seat.incarnation.capacity))
         while len(room) < limit:
             if slots > 0 and self._step.need.fits(future):
                 room.append((seat, ended))
@@ -187,7 +192,7 @@
         return not limit or seat.count_of(self._wave.job, self._wave.gang) < limit
 
     def _is_near(self, seat: Seat) -> bool:
-        return not self._step.data_rack or seat.life.rack == self._step.data_rack
+        return not self._step.data_rack or seat.incarnation.rack == self._step.data_rack
 
     def _cost(self, seat: Seat) -> tuple[bool, int, int]:
         """Order workers: sound ones first, then those that are left with the least room."""
@@ -196,4 +201,4 @@
 
 def set_of(seats: Sequence[Seat]) -> list[Seat]:
     """Return each worker once."""
-    return list({seat.life.id: seat for seat in seats}.values())
+    return list({seat.incarnation.id: seat for seat in seats}.values())
--- a/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
@@ -4,8 +4,8 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from agateferry_jobs.ledger import Job, Ledger, Run, WorkerLife, WorkerState
-from agateferry_jobs.ledger.specs import Amount, StepSpec
+from agateferry_jobs.ledger import Job, Ledger, Run, WorkerIncarnation, WorkerState
+from agateferry_jobs.ledger.specs import Resources, StepSpec
 from agateferry_jobs.ledger.state import gang_of
 
 RunKey = tuple[str, str]
@@ -40,17 +40,17 @@
     what the planner has promised to jobs that wait for it.
     """
 
-    life: WorkerLife
+    incarnation: WorkerIncarnation
     health: WorkerHealth
-    free: Amount
-    future: Amount
+    free: Resources
+    future: Resources
     free_slots: int
     occupants: list[Occupant] = field(default_factory=list)
 
     @property
     def is_staying(self) -> bool:
         """Tell whether this worker takes work once it answers."""
-        return self.life.state is WorkerState.READY
+        return self.incarnation.state is WorkerState.READY
 
     @property
     def takes_work(self) -> bool:
@@ -59,9 +59,9 @@
 
     def can_hold(self, step: StepSpec) -> bool:
         """Tell whether a subtask may run here at all, as far as service labels and size go."""
-        if step.required_label and step.required_label not in self.life.labels:
+        if step.required_label and step.required_label not in self.incarnation.labels:
             return False
-        return step.need.fits(self.life.capacity)
+        return step.need.fits(self.incarnation.capacity)
 
     def has_room(self, step: StepSpec) -> bool:
         """Tell whether a subtask fits now."""
@@ -84,10 +84,10 @@
         occupant.is_stopping = True
         self.future = self.future.plus(occupant.step.need)
 
-    def promise(self, need: Amount) -> None:
+    def promise(self, need: Resources) -> None:
         """Keep room for a job that waits, so that jobs after it do not take it."""
         self.future = self.future.minus(need)
-        self.free = Amount(
+        self.free = Resources(
             min(self.free.cpu, self.future.cpu),
             min(self.free.mem_mb, self.future.mem_mb),
             min(self.free.gpu, self.future.gpu),
@@ -100,7 +100,7 @@
     def __init__(self, seats: Iterable[Seat]) -> None:
         self.by_service: dict[str, list[Seat]] = defaultdict(list)
         for seat in seats:
-            self.by_service[seat.life.service].append(seat)
+            self.by_service[seat.incarnation.service].append(seat)
 
     @classmethod
     def of(
@@ -112,10 +112,14 @@
         """Return the fleet that a ledger and the calls to its workers tell."""
         unknown = WorkerHealth(answers=False)
         seats = {
-            life.id: Seat(
-                life, health.get(life.id, unknown), life.capacity, life.capacity, life.slots
+            incarnation.id: Seat(
+                incarnation,
+                health.get(incarnation.id, unknown),
+                incarnation.capacity,
+                incarnation.capacity,
+                incarnation.slots,
             )
-            for life in ledger.workers.values()
+            for incarnation in ledger.workers.values()
         }
         for job in ledger.jobs.values():
             for name, subtask in job.subtasks.items():
@@ -128,7 +132,7 @@
 
 def _seat_run(seats: Mapping[str, Seat], job: Job, name: str, run: Run, is_stopping: bool) -> None:
     seat = seats.get(run.worker)
-    if seat is None or seat.life.born != run.born:
+    if seat is None or seat.incarnation.born != run.born:
         return
     seat.take(job, name)
     if is_stopping or job.is_over or job.subtasks[name].is_done:
--- a/packages/agateferry-jobs/agateferry_jobs/planning/losses.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/losses.py
@@ -57,7 +57,7 @@
 
     def counts(self, occupant: Occupant, rank: int) -> bool:
         """Tell that any run can be waited for, but for those that last."""
-        return not occupant.step.lasts
+        return not occupant.step.is_long_running
 
     def _work_out(self, occupant: Occupant) -> float:
         """Return how long a run still takes; one that is over its time may end at any moment."""
--- a/packages/agateferry-jobs/agateferry_jobs/planning/planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/planner.py
@@ -168,7 +168,7 @@
         checkpoint = self._checkpoint(wave, names)
         for name, seat in zip(names, seats, strict=True):
             seat.take(job, name)
-            run = Run(number, seat.life.id, seat.life.born)
+            run = Run(number, seat.incarnation.id, seat.incarnation.born)
             self._plan.starts.append(RunStart(job.id, name, run, checkpoint))
 
     def _checkpoint(self, wave: Wave, names: Sequence[str]) -> str:
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
@@ -3,7 +3,7 @@
 
 from agateferry_jobs.ledger import Ledger, WorkerState
 from agateferry_jobs.ledger import commands as c
-from agateferry_jobs.ledger.specs import Amount, StepSpec
+from agateferry_jobs.ledger.specs import Resources, StepSpec
 from agateferry_jobs.planning import Fleet, Planner, WorkerHealth
 from agateferry_jobs.planning.choice import RESERVED_PATIENCE_MS
 from agateferry_jobs.support import job_command, manifest, start_of, worker
@@ -11,7 +11,7 @@
 
 PATIENT_MS = 201
 """The wait after which the least urgent work uses any worker; its slack is 1000 ms here."""
-WHOLE = Amount(cpu=1000, mem_mb=100, gpu=8)
+WHOLE = Resources(cpu=1000, mem_mb=100, gpu=8)
 HOPELESS_MS = 23_000
 """The wait after which 2.5 s of work reach nothing: three times 8.5 s, less the work itself."""
 
@@ -27,10 +27,10 @@
     def do(self, command):
         return self.ledger.apply(1, c.encode(command))
 
-    def add(self, *lives, **health):
-        for life in lives:
-            self.do(c.NoteWorker(life))
-            self.health[life.id] = WorkerHealth(**health)
+    def add(self, *incarnations, **health):
+        for incarnation in incarnations:
+            self.do(c.NoteWorker(incarnation))
+            self.health[incarnation.id] = WorkerHealth(**health)
 
     def plan(self, now_ms=0):
         fleet = Fleet.of(self.ledger, self.health, self.stopping)
@@ -46,7 +46,7 @@
 class RoomTests(PlannerCase):
     def test_no_worker_gets_more_than_it_has(self):
         self.add(worker("w1"))
-        self.do(job_command("j", StepSpec(3, Amount(gpu=4))))
+        self.do(job_command("j", StepSpec(3, Resources(gpu=4))))
         self.assertEqual(2, len(self.placed()))
         self.assertEqual({}, self.placed())
 
@@ -87,7 +87,7 @@
         self.add(worker("w1"))
         self.do(job_command("j", StepSpec(1, NEED), StepSpec(1, NEED, depends_on=(0,))))
         self.assertEqual({("j", "0.0.0"): "w1"}, self.placed())
-        end = c.RunEnded("j", "0.0.0", start_of("j", "0.0.0").run, c.RunEnd.DONE)
+        end = c.RunEnded("j", "0.0.0", start_of("j", "0.0.0").run, c.RunOutcome.DONE)
         self.do(c.EndRuns((end,), 0))
         self.assertEqual({("j", "0.1.0"): "w1"}, self.placed())
 
@@ -126,7 +126,7 @@
         self.add(worker("w1"), worker("w2"))
         self.do(job_command("j", StepSpec(2, WHOLE, is_gang=True)))
         self.do(c.StartRuns((start_of("j", "0.0.0", 4),)))
-        end = c.RunEnded("j", "0.0.0", start_of("j", "0.0.0", 4).run, c.RunEnd.STOPPED, "saved")
+        end = c.RunEnded("j", "0.0.0", start_of("j", "0.0.0", 4).run, c.RunOutcome.STOPPED, "saved")
         self.do(c.EndRuns((end,), 0))
         starts = self.plan().starts
         self.assertEqual([(5, "saved")] * 2, [(s.run.number, s.checkpoint) for s in starts])
@@ -175,14 +175,14 @@
 class UrgentTests(PlannerCase):
     def test_urgent_work_takes_back_the_least_that_makes_room(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("low", StepSpec(2, Amount(gpu=6)), priority=2))
+        self.do(job_command("low", StepSpec(2, Resources(gpu=6)), priority=2))
         self.placed(PATIENT_MS)
-        self.do(job_command("small", StepSpec(1, Amount(gpu=2)), priority=2))
+        self.do(job_command("small", StepSpec(1, Resources(gpu=2)), priority=2))
         self.placed(PATIENT_MS)
-        self.do(job_command("urgent", StepSpec(1, Amount(gpu=2)), priority=0))
+        self.do(job_command("urgent", StepSpec(1, Resources(gpu=2)), priority=0))
         self.assertEqual([], self.plan().stops)
         self.placed()
-        self.do(job_command("urgent2", StepSpec(1, Amount(gpu=2)), priority=0))
+        self.do(job_command("urgent2", StepSpec(1, Resources(gpu=2)), priority=0))
         stops = self.plan().stops
         self.assertEqual([("small", "0.0.0")], [stop.key for stop in stops])
 
@@ -197,7 +197,7 @@
 
     def test_room_that_becomes_free_is_kept_for_the_one_it_was_freed_for(self):
         self.add(worker("w1"))
-        self.do(job_command("low", StepSpec(1, Amount(gpu=6)), priority=2))
+        self.do(job_command("low", StepSpec(1, Resources(gpu=6)), priority=2))
         self.placed(PATIENT_MS)
         self.do(job_command("urgent", StepSpec(1, WHOLE), priority=0))
         self.do(job_command("late", StepSpec(1, NEED), priority=2))
@@ -231,7 +231,7 @@
         choice moved on with each new run, so that gangs of whole workers were never started."""
         self.add(worker("w1"), worker("w2"))
         for id, at_ms in (("old", PATIENT_MS), ("new", 3000)):
-            self.do(job_command(id, StepSpec(1, Amount(gpu=7), estimated_ms=4500), priority=2))
+            self.do(job_command(id, StepSpec(1, Resources(gpu=7), estimated_ms=4500), priority=2))
             self.do(c.StartRuns(tuple(self.plan(at_ms + 2001).starts), at_ms))
         step = StepSpec(1, WHOLE, is_gang=True, estimated_ms=4500)
         self.do(job_command("gang", step, priority=1, at_ms=3000))
@@ -252,7 +252,7 @@
     """The team of the manifest has eight accelerators reserved; nobody else has any."""
 
     def borrow(self, id, team, gpu, at_ms=0):
-        command = job_command(id, StepSpec(1, Amount(gpu=gpu)), priority=0, at_ms=at_ms)
+        command = job_command(id, StepSpec(1, Resources(gpu=gpu)), priority=0, at_ms=at_ms)
         self.do(msgspec.structs.replace(command, team=team))
 
     def test_urgent_work_of_a_team_beyond_its_reserve_gives_way(self):
@@ -297,7 +297,7 @@
         self.do(job_command("a", StepSpec(1, WHOLE, required_label="a"), priority=1))
         self.do(job_command("b", StepSpec(1, WHOLE, required_label="b"), priority=1))
         self.placed()
-        gang = StepSpec(2, Amount(gpu=8), is_gang=True, same_rack=True, estimated_ms=2500)
+        gang = StepSpec(2, Resources(gpu=8), is_gang=True, same_rack=True, estimated_ms=2500)
         self.do(msgspec.structs.replace(job_command("u", gang, priority=0), team="other"))
         stops = self.plan(RESERVED_PATIENCE_MS).stops
         self.assertEqual(1, len(stops))
@@ -336,16 +336,16 @@
     def test_the_run_with_the_least_work_behind_it_is_taken_back(self):
         self.add(worker("w1"))
         for id, at_ms in (("old", PATIENT_MS), ("new", 9000)):
-            self.do(job_command(id, StepSpec(1, Amount(gpu=4)), priority=2))
+            self.do(job_command(id, StepSpec(1, Resources(gpu=4)), priority=2))
             self.do(c.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
-        self.do(job_command("urgent", StepSpec(1, Amount(gpu=4)), priority=0))
+        self.do(job_command("urgent", StepSpec(1, Resources(gpu=4)), priority=0))
         self.assertEqual([("new", "0.0.0")], [stop.key for stop in self.plan(9500).stops])
 
     def test_a_run_that_saves_loses_little(self):
         self.add(worker("w1"))
         for id, saves, at_ms in (("saves", True, PATIENT_MS), ("new", False, 5000)):
-            step = StepSpec(1, Amount(gpu=4), saves_checkpoints=saves)
+            step = StepSpec(1, Resources(gpu=4), saves_checkpoints=saves)
             self.do(job_command(id, step, priority=2))
             self.do(c.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
-        self.do(job_command("urgent", StepSpec(1, Amount(gpu=4)), priority=0))
+        self.do(job_command("urgent", StepSpec(1, Resources(gpu=4)), priority=0))
         self.assertEqual([("saves", "0.0.0")], [stop.key for stop in self.plan(9000).stops])
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
@@ -28,7 +28,7 @@
         """Run the first subtask of a job to its end."""
         start = start_of(id, "0.0.0")
         self.do(c.StartRuns((start,), 0))
-        self.do(c.EndRuns((c.RunEnded(id, "0.0.0", start.run, c.RunEnd.DONE),), took_ms))
+        self.do(c.EndRuns((c.RunEnded(id, "0.0.0", start.run, c.RunOutcome.DONE),), took_ms))
 
 
 class SlackTests(TimingCase):
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/loads.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/loads.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, replace
 
 from agateferry_core.clock import MS_PER_S
-from agateferry_jobs.ledger.specs import Amount, JobSpec, StepSpec
+from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 
-WORKER_ROOM = Amount(cpu=64_000, mem_mb=262_000, gpu=8)
+WORKER_ROOM = Resources(cpu=64_000, mem_mb=262_000, gpu=8)
 """What every simulated worker has."""
 LONGEST_SHARE = 6
 """How many times the mean of its kind a width may be at most, so that one job is not the day."""
@@ -143,7 +143,7 @@
 
 
 def _job(load: Load, kind: JobKind, at_ms: int, rng: random.Random) -> SimulatedJob:
-    need = Amount(kind.cpu, kind.mem_mb, rng.choice(kind.gpus))
+    need = Resources(kind.cpu, kind.mem_mb, rng.choice(kind.gpus))
     same_rack = kind.is_gang and rng.random() < kind.same_rack_share
     count = _width(load, kind, need, rng)
     length_ms = max(300.0, rng.gauss(1.0, 0.3) * kind.work_ms)
@@ -164,7 +164,7 @@
     return SimulatedJob(id, kind, team, at_ms, JobSpec("payload", (step,)), work_ms, fails)
 
 
-def _width(load: Load, kind: JobKind, need: Amount, rng: random.Random) -> int:
+def _width(load: Load, kind: JobKind, need: Resources, rng: random.Random) -> int:
     """Draw how many subtasks a job has; a gang must fit into half of a rack."""
     width = rng.lognormvariate(0.0, 0.8) * kind.width * 0.73
     count = max(1, round(min(width, LONGEST_SHARE * kind.width)))
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
@@ -55,7 +55,7 @@
         return False
     number = 1 + max((job.subtasks[name].last_run for name in waiting), default=0)
     for name, seat in placed:
-        run = Run(number, seat.life.id, seat.life.born)
+        run = Run(number, seat.incarnation.id, seat.incarnation.born)
         plan.starts.append(RunStart(job.id, name, run, job.subtasks[name].checkpoint))
     return is_whole
 
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_world.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_world.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from agateferry_jobs.ledger.specs import Amount, JobSpec, StepSpec
+from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.planning import Plan
 from agateferry_jobs.planning.planner import Stop
 from agateferry_jobs.simulation.loads import BATCH, CALM, GANGS, SimulatedJob, Slowness
@@ -10,7 +10,7 @@
 from agateferry_jobs.simulation.world import STEP_MS, World
 
 LOAD = replace(CALM, workers=2, length_s=1.0)
-WHOLE = Amount(cpu=8_000, mem_mb=16_000, gpu=8)
+WHOLE = Resources(cpu=8_000, mem_mb=16_000, gpu=8)
 
 
 def job(id="j", count=1, kind=GANGS, work_ms=2_000, fails_at=(), **step):
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/world.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/world.py
@@ -6,7 +6,7 @@
 
 from agateferry_core.clock import MS_PER_S
 from agateferry_jobs.cell.leader import HUNG_MS, TICK_MS
-from agateferry_jobs.ledger import Ledger, WorkerLife
+from agateferry_jobs.ledger import Ledger, WorkerIncarnation
 from agateferry_jobs.ledger import commands as c
 from agateferry_jobs.ledger.state import Run, gang_of
 from agateferry_jobs.manifest import Manifest, Queue, Service, Team
@@ -132,8 +132,10 @@
             rack = f"r{number // self._load.workers_per_rack}"
             self._racks[id] = rack
             labels = ("kind", rack)
-            life = WorkerLife(id, 1, "pool", id, "zone", WORKER_ROOM, labels, WORKER_ROOM.gpu)
-            self._do(c.NoteWorker(life))
+            incarnation = WorkerIncarnation(
+                id, 1, "pool", id, "zone", WORKER_ROOM, labels, WORKER_ROOM.gpu
+            )
+            self._do(c.NoteWorker(incarnation))
 
     def _accept(self) -> bool:
         due = [job for job in self._coming if job.at_ms <= self._now_ms]
@@ -197,7 +199,7 @@
         group.still_ms = 0.0 if speed else group.still_ms + STEP_MS
         if group.stops_at_ms is not None:
             if not is_hidden and self._now_ms >= group.stops_at_ms:
-                self._end(group, c.RunEnd.STOPPED)
+                self._end(group, c.RunOutcome.STOPPED)
                 return True
             return False
         if group.still_ms > HUNG_MS and not is_hidden:
@@ -211,20 +213,20 @@
             return False
         if group.fails_at_ms is not None and group.done_ms >= group.fails_at_ms:
             self._failed[group.job.id] = self._failed.get(group.job.id, 0) + 1
-            self._end(group, c.RunEnd.FAILED)
+            self._end(group, c.RunOutcome.FAILED)
             return True
         if group.done_ms >= group.work_ms:
-            self._end(group, c.RunEnd.DONE)
+            self._end(group, c.RunOutcome.DONE)
             return True
         return False
 
-    def _end(self, group: Group, how: c.RunEnd) -> None:
+    def _end(self, group: Group, outcome: c.RunOutcome) -> None:
         checkpoint = str(round(group.saved_ms)) if group.saved_ms else ""
         ends = tuple(
-            c.RunEnded(group.job.id, name, run, how, checkpoint)
+            c.RunEnded(group.job.id, name, run, outcome, checkpoint)
             for name, run in group.members.items()
         )
-        if how is not c.RunEnd.DONE:
+        if outcome is not c.RunOutcome.DONE:
             lost_ms = group.ran_ms if not checkpoint else 0.0
             gpus = group.job.spec.steps[0].need.gpu * len(group.members)
             self._wasted_gpu_s += lost_ms * gpus / MS_PER_S
--- a/packages/agateferry-jobs/agateferry_jobs/support/making.py
+++ b/packages/agateferry-jobs/agateferry_jobs/support/making.py
@@ -1,19 +1,19 @@
 """Short makers of the values that tests need."""
 
-from agateferry_jobs.ledger import Run, WorkerLife, WorkerState
+from agateferry_jobs.ledger import Run, WorkerIncarnation, WorkerState
 from agateferry_jobs.ledger import commands as c
-from agateferry_jobs.ledger.specs import Amount, JobSpec, StepSpec
+from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.manifest import Manifest, Queue, Service, Team
 
-NEED = Amount(cpu=1000, mem_mb=100, gpu=1)
-ROOM = Amount(cpu=16_000, mem_mb=10_000, gpu=8)
+NEED = Resources(cpu=1000, mem_mb=100, gpu=1)
+ROOM = Resources(cpu=16_000, mem_mb=10_000, gpu=8)
 
 
 def worker(
     id: str, rack: str = "r1", born: int = 1, state: WorkerState = WorkerState.READY
-) -> WorkerLife:
+) -> WorkerIncarnation:
     """Return a life of a worker with eight accelerators."""
-    return WorkerLife(
+    return WorkerIncarnation(
         id, born, "pool", f"{id}:80", "zone-a", ROOM, ("kind", rack), slots=8, state=state
     )
 
--- a/packages/agateferry-jobs/agateferry_jobs/support/model_worker.py
+++ b/packages/agateferry-jobs/agateferry_jobs/support/model_worker.py
@@ -46,7 +46,7 @@
     late: list[StartOrder] = field(default_factory=list)
     starts: list[tuple[RunKey, int]] = field(default_factory=list)
     percent: float = 0.0
-    how_first_ended: str = ""
+    first_outcome: str = ""
 
     async def start(self, order: StartOrder, timeout_ms: int) -> Answer:
         """Take a start, or lose it for now."""
@@ -117,13 +117,13 @@
         running = tuple(RunningRun(k, r, "", self.percent) for k, r in self.running.items())
         return Listed(self.clock.now_ms(), self.born, running, tuple(self.ends))
 
-    def end(self, key: RunKey, how: str, checkpoint: str = "") -> None:
+    def end(self, key: RunKey, outcome: str, checkpoint: str = "") -> None:
         """Have a run end."""
         run = self.running.pop(key)
-        self.how_first_ended = self.how_first_ended or how
+        self.first_outcome = self.first_outcome or outcome
         self.over[key] = run
         self.ended += 1
-        self.ends.append(FinishedRun(self.ended, key, run, how, checkpoint))
+        self.ends.append(FinishedRun(self.ended, key, run, outcome, checkpoint))
 
     async def close(self) -> None:
         """Do nothing."""
--- a/packages/agateferry-jobs/agateferry_jobs/workers/port.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/port.py
@@ -57,7 +57,7 @@
     number: int
     key: RunKey
     run: int
-    how: str
+    outcome: str
     checkpoint: str
 
 
--- a/packages/agateferry-jobs/agateferry_jobs/workers/session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/session.py
@@ -15,8 +15,8 @@
 from agateferry_core.clock import MS_PER_S, Clock
 from agateferry_core.logs import EventLogger
 from agateferry_jobs import metrics
-from agateferry_jobs.ledger import Run, WorkerLife
-from agateferry_jobs.ledger.commands import RunEnd, RunEnded, RunStart
+from agateferry_jobs.ledger import Run, WorkerIncarnation
+from agateferry_jobs.ledger.commands import RunEnded, RunOutcome, RunStart
 from agateferry_jobs.planning.fleet import RunKey, WorkerHealth
 from agateferry_jobs.workers import events
 from agateferry_jobs.workers.lease import Lease
@@ -83,7 +83,7 @@
     async def store_ends(self, ends: tuple[RunEnded, ...]) -> bool:
         """Store ends; False where that did not succeed."""
 
-    def on_other_life(self, life: WorkerLife) -> None:
+    def on_other_life(self, incarnation: WorkerIncarnation) -> None:
         """Hear that this life is over."""
 
     def on_change(self) -> None:
@@ -95,13 +95,13 @@
 
     def __init__(
         self,
-        life: WorkerLife,
+        incarnation: WorkerIncarnation,
         port: WorkerPort,
         listener: SessionListener,
         clock: Clock,
         lease: Lease,
     ) -> None:
-        self.life = life
+        self.incarnation = incarnation
         self.runs: dict[RunKey, Tracked] = {}
         self.strays: dict[RunKey, int] = {}
         self.heard_ms = clock.now_ms()
@@ -117,7 +117,7 @@
         self._cursor = 0
         self._told_cursor = 0
         self._wake = asyncio.Event()
-        self._log = EventLogger(worker=life.id, born=life.born)
+        self._log = EventLogger(worker=incarnation.id, born=incarnation.born)
         self._tasks: set[asyncio.Task[None]] = set()
         self._spawn(self._run())
 
@@ -158,7 +158,7 @@
 
     def lose_all(self) -> tuple[RunEnded, ...]:
         """Return the ends of all runs here, which are over without a word of the worker."""
-        return tuple(_end(key, t, RunEnd.LOST) for key, t in self.runs.items())
+        return tuple(_end(key, t, RunOutcome.LOST) for key, t in self.runs.items())
 
     def forget(self, key: RunKey, run: Run) -> None:
         """Drop a run whose end is stored."""
@@ -211,7 +211,7 @@
                 self._told_cursor = max(self._told_cursor, cursor)
                 return await self._take_lists(answer, look)
             case OtherLife():
-                self._listener.on_other_life(self.life)
+                self._listener.on_other_life(self.incarnation)
                 return False
             case Rejected(reason="fence"):
                 self._token = self._listener.next_token()
@@ -245,8 +245,8 @@
             self._listener.on_change()
 
     async def _take_lists(self, lists: Listed, look: int) -> bool:
-        if lists.born is not None and lists.born != self.life.born:
-            self._listener.on_other_life(self.life)
+        if lists.born is not None and lists.born != self.incarnation.born:
+            self._listener.on_other_life(self.incarnation)
             return False
         if lists.clock_ms < self._clock_seen:
             return True
@@ -277,9 +277,9 @@
         return ends
 
     def _end_of(self, finished: FinishedRun) -> RunEnded:
-        run = Run(finished.run, self.life.id, self.life.born)
+        run = Run(finished.run, self.incarnation.id, self.incarnation.born)
         job, subtask = finished.key
-        return RunEnded(job, subtask, run, RunEnd(finished.how), finished.checkpoint)
+        return RunEnded(job, subtask, run, RunOutcome(finished.outcome), finished.checkpoint)
 
     def _note_running(self, lists: Listed) -> None:
         self.strays.clear()
@@ -309,9 +309,9 @@
             if (key, tracked.run.number) in listed or tracked.known_at >= look:
                 continue
             if tracked.phase is Phase.UNCERTAIN:
-                ends.append(_end(key, tracked, RunEnd.REFUSED))
+                ends.append(_end(key, tracked, RunOutcome.REFUSED))
             elif tracked.phase is Phase.CONFIRMED:
-                ends.append(_end(key, tracked, RunEnd.LOST))
+                ends.append(_end(key, tracked, RunOutcome.LOST))
         return ends
 
     async def _order_start(self, start: RunStart, payload: str, tracked: Tracked) -> None:
@@ -345,7 +345,7 @@
         self._doubt(tracked)
 
     async def _refuse(self, key: RunKey, tracked: Tracked) -> None:
-        if await self._listener.store_ends((_end(key, tracked, RunEnd.REFUSED),)):
+        if await self._listener.store_ends((_end(key, tracked, RunOutcome.REFUSED),)):
             self.forget(key, tracked.run)
         else:
             self._doubt(tracked)
@@ -372,8 +372,8 @@
     return sent_ms is None or now_ms - sent_ms >= STOP_AGAIN_MS
 
 
-def _end(key: RunKey, tracked: Tracked, how: RunEnd) -> RunEnded:
-    return RunEnded(key[0], key[1], tracked.run, how, tracked.checkpoint)
+def _end(key: RunKey, tracked: Tracked, outcome: RunOutcome) -> RunEnded:
+    return RunEnded(key[0], key[1], tracked.run, outcome, tracked.checkpoint)
 
 
-PortFactory = Callable[[WorkerLife], WorkerPort]
+PortFactory = Callable[[WorkerIncarnation], WorkerPort]
--- a/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
@@ -5,7 +5,7 @@
 from agateferry_core.clock import SystemClock
 from agateferry_core.support import run_async
 from agateferry_jobs.ledger import Run
-from agateferry_jobs.ledger.commands import RunEnd
+from agateferry_jobs.ledger.commands import RunOutcome
 from agateferry_jobs.support import ModelWorker, start_of, worker
 from agateferry_jobs.workers.lease import Lease
 from agateferry_jobs.workers.session import WorkerSession
@@ -34,8 +34,8 @@
             self.ends += ends
         return self.stores
 
-    def on_other_life(self, life):
-        self.other_lives.append(life)
+    def on_other_life(self, incarnation):
+        self.other_lives.append(incarnation)
 
     def on_change(self):
         pass
@@ -67,8 +67,8 @@
 
         run_async(main())
 
-    def hows(self):
-        return [end.how for end in self.listener.ends]
+    def outcomes(self):
+        return [end.outcome for end in self.listener.ends]
 
 
 class StartTests(SessionCase):
@@ -86,7 +86,7 @@
         async def scenario():
             self.worker.loses_orders = 2
             self.session.start(start_of(*KEY), "payload")
-            await self.until(lambda: self.hows() == [RunEnd.REFUSED], "refused")
+            await self.until(lambda: self.outcomes() == [RunOutcome.REFUSED], "refused")
             for order in self.worker.late:
                 self.worker.carry_out(order)
             self.assertEqual({}, self.worker.running)
@@ -100,9 +100,9 @@
             await self.until(lambda: self.worker.late, "lost order")
             self.worker.carry_out(self.worker.late[0])
             await asyncio.sleep(0.3)
-            self.assertEqual([], self.hows())
+            self.assertEqual([], self.outcomes())
             self.worker.end(KEY, "done")
-            await self.until(lambda: self.hows() == [RunEnd.DONE], "done")
+            await self.until(lambda: self.outcomes() == [RunOutcome.DONE], "done")
 
         self.check(scenario)
 
@@ -111,7 +111,7 @@
     def test_a_run_of_an_earlier_leader_that_is_not_there_is_refused(self):
         async def scenario():
             self.session.adopt(KEY, Run(1, "w1", 1))
-            await self.until(lambda: self.hows() == [RunEnd.REFUSED], "refused")
+            await self.until(lambda: self.outcomes() == [RunOutcome.REFUSED], "refused")
 
         self.check(scenario)
 
@@ -135,7 +135,7 @@
             self.assertEqual(1, len(self.worker.ends))
             self.listener.stores = True
             await self.until(lambda: not self.worker.ends, "forgotten")
-            self.assertEqual([RunEnd.DONE], self.hows())
+            self.assertEqual([RunOutcome.DONE], self.outcomes())
 
         self.check(scenario)
 
@@ -152,6 +152,6 @@
             self.session.start(start_of(*KEY), "payload")
             await self.until(lambda: KEY in self.worker.running, "start")
             self.session.stop_run(KEY)
-            await self.until(lambda: self.hows() == [RunEnd.STOPPED], "stopped")
+            await self.until(lambda: self.outcomes() == [RunOutcome.STOPPED], "stopped")
 
         self.check(scenario)
