--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
@@ -15,7 +15,7 @@
 from agateferry_jobs.cell.leader import Leader
 from agateferry_jobs.ledger import Ledger
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
-from agateferry_jobs.planning.fleet import Seat
+from agateferry_jobs.planning.fleet import WorkerAllocation
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
 from agateferry_jobs.support.making import ROOM
 from agateferry_jobs.workers.lease import Lease
@@ -255,7 +255,7 @@
         self.assert_found(WorkerSession, "_doubt", doubt)
 
     def test_room_of_runs_that_are_being_stopped_or_started_does_not_count(self):
-        def take(seat, job, subtask):
-            seat.free_slots -= 1
+        def allocate(worker, job, subtask):
+            worker.free_slots -= 1
 
-        self.assert_found(Seat, "take", take)
+        self.assert_found(WorkerAllocation, "allocate", allocate)
--- a/packages/agateferry-jobs/agateferry_jobs/planning/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/__init__.py
@@ -1,6 +1,6 @@
 """Which subtask starts where, and which run makes room for it; no I/O."""
 
-from agateferry_jobs.planning.fleet import Fleet, Seat, WorkerHealth
+from agateferry_jobs.planning.fleet import Fleet, WorkerAllocation, WorkerHealth
 from agateferry_jobs.planning.planner import Plan, Planner
 
-__all__ = ["Fleet", "Plan", "Planner", "Seat", "WorkerHealth"]
+__all__ = ["Fleet", "Plan", "Planner", "WorkerAllocation", "WorkerHealth"]
--- a/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Occupant:
+class AllocatedRun:
     """A run that holds a part of a worker."""
 
     job: Job
@@ -33,19 +33,19 @@
 
 
 @dataclass(slots=True)
-class Seat:
+class WorkerAllocation:
     """One worker: its life, what is free, and who holds the rest.
 
-    `free` is free now. `future` is free once everything that is being stopped has ended, less
-    what the planner has promised to jobs that wait for it.
+    `free` is free now. `free_after_stops` is free once everything that is being stopped has ended,
+    less what the planner has promised to jobs that wait for it.
     """
 
     incarnation: WorkerIncarnation
     health: WorkerHealth
     free: Resources
-    future: Resources
+    free_after_stops: Resources
     free_slots: int
-    occupants: list[Occupant] = field(default_factory=list)
+    runs: list[AllocatedRun] = field(default_factory=list)
 
     @property
     def is_staying(self) -> bool:
@@ -69,38 +69,38 @@
 
     def count_of(self, job: Job, gang: str) -> int:
         """Return how many subtasks of one step of one occurrence run here."""
-        return sum(1 for o in self.occupants if o.job is job and gang_of(o.subtask) == gang)
+        return sum(1 for o in self.runs if o.job is job and gang_of(o.subtask) == gang)
 
-    def take(self, job: Job, subtask: str) -> None:
+    def allocate(self, job: Job, subtask: str) -> None:
         """Count a run that holds room here or is about to."""
         step = job.step_of(subtask)
-        self.occupants.append(Occupant(job, subtask, step, is_stopping=False))
+        self.runs.append(AllocatedRun(job, subtask, step, is_stopping=False))
         self.free = self.free.minus(step.need)
-        self.future = self.future.minus(step.need)
+        self.free_after_stops = self.free_after_stops.minus(step.need)
         self.free_slots -= 1
 
-    def release(self, occupant: Occupant) -> None:
+    def mark_stopping(self, allocated_run: AllocatedRun) -> None:
         """Count a run as being stopped; its room is free once it has ended."""
-        occupant.is_stopping = True
-        self.future = self.future.plus(occupant.step.need)
+        allocated_run.is_stopping = True
+        self.free_after_stops = self.free_after_stops.plus(allocated_run.step.need)
 
-    def promise(self, need: Resources) -> None:
+    def reserve(self, need: Resources) -> None:
         """Keep room for a job that waits, so that jobs after it do not take it."""
-        self.future = self.future.minus(need)
+        self.free_after_stops = self.free_after_stops.minus(need)
         self.free = Resources(
-            min(self.free.cpu, self.future.cpu),
-            min(self.free.mem_mb, self.future.mem_mb),
-            min(self.free.gpu, self.future.gpu),
+            min(self.free.cpu, self.free_after_stops.cpu),
+            min(self.free.mem_mb, self.free_after_stops.mem_mb),
+            min(self.free.gpu, self.free_after_stops.gpu),
         )
 
 
 class Fleet:
     """All workers of all services at one moment."""
 
-    def __init__(self, seats: Iterable[Seat]) -> None:
-        self.by_service: dict[str, list[Seat]] = defaultdict(list)
-        for seat in seats:
-            self.by_service[seat.incarnation.service].append(seat)
+    def __init__(self, workers: Iterable[WorkerAllocation]) -> None:
+        self.by_service: dict[str, list[WorkerAllocation]] = defaultdict(list)
+        for worker in workers:
+            self.by_service[worker.incarnation.service].append(worker)
 
     @classmethod
     def of(
@@ -111,8 +111,8 @@
     ) -> "Fleet":
         """Return the fleet that a ledger and the calls to its workers tell."""
         unknown = WorkerHealth(answers=False)
-        seats = {
-            incarnation.id: Seat(
+        workers = {
+            incarnation.id: WorkerAllocation(
                 incarnation,
                 health.get(incarnation.id, unknown),
                 incarnation.capacity,
@@ -124,24 +124,26 @@
         for job in ledger.jobs.values():
             for name, subtask in job.subtasks.items():
                 if subtask.active is not None:
-                    _seat_run(seats, job, name, subtask.active, (job.id, name) in stopping)
-        for seat in seats.values():
-            _seat_strays(seat, ledger)
-        return cls(seats.values())
+                    _allocate_run(workers, job, name, subtask.active, (job.id, name) in stopping)
+        for worker in workers.values():
+            _allocate_strays(worker, ledger)
+        return cls(workers.values())
 
 
-def _seat_run(seats: Mapping[str, Seat], job: Job, name: str, run: Run, is_stopping: bool) -> None:
-    seat = seats.get(run.worker)
-    if seat is None or seat.incarnation.born != run.born:
+def _allocate_run(
+    workers: Mapping[str, WorkerAllocation], job: Job, name: str, run: Run, is_stopping: bool
+) -> None:
+    worker = workers.get(run.worker)
+    if worker is None or worker.incarnation.born != run.born:
         return
-    seat.take(job, name)
+    worker.allocate(job, name)
     if is_stopping or job.is_over or job.subtasks[name].is_done:
-        seat.release(seat.occupants[-1])
+        worker.mark_stopping(worker.runs[-1])
 
 
-def _seat_strays(seat: Seat, ledger: Ledger) -> None:
-    for job_id, name in seat.health.strays:
+def _allocate_strays(worker: WorkerAllocation, ledger: Ledger) -> None:
+    for job_id, name in worker.health.strays:
         job = ledger.jobs.get(job_id)
         if job is not None:
-            seat.take(job, name)
-            seat.release(seat.occupants[-1])
+            worker.allocate(job, name)
+            worker.mark_stopping(worker.runs[-1])
--- a/packages/agateferry-jobs/agateferry_jobs/planning/planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/planner.py
@@ -14,8 +14,8 @@
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.ledger.state import gang_of
 from agateferry_jobs.planning.choice import Chooser
-from agateferry_jobs.planning.fleet import Fleet, Occupant, RunKey, Seat
-from agateferry_jobs.planning.losses import Losses, Waits
+from agateferry_jobs.planning.fleet import AllocatedRun, Fleet, RunKey, WorkerAllocation
+from agateferry_jobs.planning.preemption_cost import PreemptionCost, WaitCost
 from agateferry_jobs.planning.ranks import BORROWED_RANK, rank_jobs
 from agateferry_jobs.planning.timing import Lateness, Timing, open_occurrence
 
@@ -25,12 +25,12 @@
 """A gang that has waited for this share of its slack takes runs of lower ranks back."""
 
 
-class Urgency(Enum):
+class PreemptionPolicy(Enum):
     """What a wave that cannot start may do to others."""
 
-    WAITS = auto()
-    KEEPS_ROOM = auto()
-    TAKES_BACK = auto()
+    WAIT = auto()
+    RESERVE = auto()
+    PREEMPT = auto()
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wave:
+class ReadySubtasks:
     """Subtasks of one step of one occurrence that may start now."""
 
     job: Job
@@ -78,14 +78,14 @@
         self._plan = Plan()
         self._ranks = rank_jobs(ledger.jobs.values(), ledger.manifest)
         self._timing = Timing(ledger)
-        self._losses = Losses(self._ranks, now_ms)
-        self._waits = Waits(self._timing, now_ms)
+        self._preemption_cost = PreemptionCost(self._ranks, now_ms)
+        self._wait_cost = WaitCost(self._timing, now_ms)
 
     def plan(self) -> Plan:
         """Return the starts and stops that are due now."""
         for job in self._waiting_jobs():
-            for wave in self._waves(job):
-                self._place(wave)
+            for ready in self._ready_subtasks(job):
+                self._place(ready)
         return self._plan
 
     def _waiting_jobs(self) -> list[Job]:
@@ -106,17 +106,19 @@
         spare_ms = self._timing.slack_ms(job) - waited
         return (rank, self._timing.lateness(job, waited), spare_ms, job.id)
 
-    def _waves(self, job: Job) -> Iterator[Wave]:
+    def _ready_subtasks(self, job: Job) -> Iterator[ReadySubtasks]:
         for occurrence in range(job.spec.occurrences):
             due_ms = job.spec.due_ms(occurrence)
             if due_ms > self._now_ms:
                 return
             for number, step in enumerate(job.spec.steps):
-                wave = self._wave(job, occurrence, number, step)
-                if wave is not None:
-                    yield wave
+                ready = self._ready_of_step(job, occurrence, number, step)
+                if ready is not None:
+                    yield ready
 
-    def _wave(self, job: Job, occurrence: int, number: int, step: StepSpec) -> Wave | None:
+    def _ready_of_step(
+        self, job: Job, occurrence: int, number: int, step: StepSpec
+    ) -> ReadySubtasks | None:
         gang = f"{occurrence}.{number}"
         names = tuple(
             name
@@ -128,7 +130,7 @@
         if not all(job.is_step_done(occurrence, earlier) for earlier in step.depends_on):
             return None
         waited = self._timing.waited_ms(job, occurrence, self._now_ms)
-        return Wave(
+        return ReadySubtasks(
             job,
             gang,
             step,
@@ -140,79 +142,85 @@
             waited_share=waited / max(1.0, self._timing.slack_ms(job)),
         )
 
-    def _place(self, wave: Wave) -> None:
-        chooser = Chooser(self._seats_for(wave.job), wave, self._ranks)
-        if wave.step.is_gang:
-            seats = chooser.whole()
-            if seats is None:
-                self._make_room(wave, chooser, wave.names)
+    def _place(self, ready: ReadySubtasks) -> None:
+        chooser = Chooser(self._workers_for(ready.job), ready, self._ranks)
+        if ready.step.is_gang:
+            workers = chooser.whole()
+            if workers is None:
+                self._make_room(ready, chooser, ready.names)
                 return
-            self._start(wave, wave.names, seats)
+            self._start(ready, ready.names, workers)
             return
-        for position, name in enumerate(wave.names):
-            seat = chooser.single()
-            if seat is None:
-                self._make_room(wave, chooser, wave.names[position:])
+        for position, name in enumerate(ready.names):
+            worker = chooser.single()
+            if worker is None:
+                self._make_room(ready, chooser, ready.names[position:])
                 return
-            self._start(wave, (name,), (seat,))
+            self._start(ready, (name,), (worker,))
 
-    def _seats_for(self, job: Job) -> list[Seat]:
+    def _workers_for(self, job: Job) -> list[WorkerAllocation]:
         manifest = self._ledger.manifest
         queue = manifest.queue_named(job.queue) if manifest is not None else None
         service = queue.service if queue is not None else job.service
         return self._fleet.by_service.get(service, [])
 
-    def _start(self, wave: Wave, names: Sequence[str], seats: Sequence[Seat]) -> None:
-        job = wave.job
+    def _start(
+        self, ready: ReadySubtasks, names: Sequence[str], workers: Sequence[WorkerAllocation]
+    ) -> None:
+        job = ready.job
         number = 1 + max(job.subtasks[name].last_run for name in names)
-        checkpoint = self._checkpoint(wave, names)
-        for name, seat in zip(names, seats, strict=True):
-            seat.take(job, name)
-            run = Run(number, seat.incarnation.id, seat.incarnation.born)
+        checkpoint = self._checkpoint(ready, names)
+        for name, worker in zip(names, workers, strict=True):
+            worker.allocate(job, name)
+            run = Run(number, worker.incarnation.id, worker.incarnation.born)
             self._plan.starts.append(RunStart(job.id, name, run, checkpoint))
 
-    def _checkpoint(self, wave: Wave, names: Sequence[str]) -> str:
+    def _checkpoint(self, ready: ReadySubtasks, names: Sequence[str]) -> str:
         """Return the newest checkpoint; any member's serves its whole gang."""
-        subtasks = [wave.job.subtasks[name] for name in names]
+        subtasks = [ready.job.subtasks[name] for name in names]
         saved = [each for each in subtasks if each.checkpoint]
         return max(saved, key=lambda s: s.last_run).checkpoint if saved else ""
 
-    def _make_room(self, wave: Wave, chooser: Chooser, names: Sequence[str]) -> None:
+    def _make_room(self, ready: ReadySubtasks, chooser: Chooser, names: Sequence[str]) -> None:
         """Promise room to what goes first, and take back what stands in its way where that pays."""
-        urgency = self._urgency(wave)
-        if urgency is Urgency.WAITS:
+        policy = self._preemption_policy(ready)
+        if policy is PreemptionPolicy.WAIT:
             return
-        takes_back = urgency is Urgency.TAKES_BACK
-        for seat, runs in chooser.room_for(len(names), self._losses if takes_back else self._waits):
+        takes_back = policy is PreemptionPolicy.PREEMPT
+        for worker, runs in chooser.room_for(
+            len(names), self._preemption_cost if takes_back else self._wait_cost
+        ):
             if takes_back:
                 for run in runs:
-                    self._stop(run, wave)
-            seat.promise(wave.step.need)
+                    self._stop(run, ready)
+            worker.reserve(ready.step.need)
 
-    def _urgency(self, wave: Wave) -> Urgency:
+    def _preemption_policy(self, ready: ReadySubtasks) -> PreemptionPolicy:
         """Tell what a wave that cannot start may do to others."""
-        if wave.rank <= BORROWED_RANK:
-            return Urgency.TAKES_BACK
-        if not wave.step.is_gang:
-            return Urgency.WAITS
-        if self._timing.lateness(wave.job, wave.waited_ms) is not Lateness.IN_TIME:
-            return Urgency.WAITS
-        if wave.waited_share > TAKE_BACK_SHARE:
-            return Urgency.TAKES_BACK
-        return Urgency.KEEPS_ROOM if wave.waited_share > KEEP_SHARE else Urgency.WAITS
-
-    def _stop(self, victim: Occupant, wave: Wave) -> None:
+        if ready.rank <= BORROWED_RANK:
+            return PreemptionPolicy.PREEMPT
+        if not ready.step.is_gang:
+            return PreemptionPolicy.WAIT
+        if self._timing.lateness(ready.job, ready.waited_ms) is not Lateness.IN_TIME:
+            return PreemptionPolicy.WAIT
+        if ready.waited_share > TAKE_BACK_SHARE:
+            return PreemptionPolicy.PREEMPT
+        return (
+            PreemptionPolicy.RESERVE if ready.waited_share > KEEP_SHARE else PreemptionPolicy.WAIT
+        )
+
+    def _stop(self, victim: AllocatedRun, ready: ReadySubtasks) -> None:
         """Stop a run, and the other members with it where it belongs to a gang."""
         job = victim.job
         names = [victim.subtask]
         if job.step_of(victim.subtask).is_gang:
             names = job.members(gang_of(victim.subtask))
-        for seats in self._fleet.by_service.values():
-            for seat in seats:
-                for other in seat.occupants:
+        for workers in self._fleet.by_service.values():
+            for worker in workers:
+                for other in worker.runs:
                     if other.job is job and other.subtask in names and not other.is_stopping:
-                        seat.release(other)
+                        worker.mark_stopping(other)
                         run = job.subtasks[other.subtask].active
                         if run is not None:
                             key = (job.id, other.subtask)
-                            self._plan.stops.append(Stop(key, run, wave.job.id, wave.rank))
+                            self._plan.stops.append(Stop(key, run, ready.job.id, ready.rank))
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
@@ -4,7 +4,7 @@
 
 from agateferry_jobs.ledger import Job, Ledger, Run
 from agateferry_jobs.ledger.commands import RunStart
-from agateferry_jobs.planning import Fleet, Plan, Planner, Seat
+from agateferry_jobs.planning import Fleet, Plan, Planner, WorkerAllocation
 
 
 class Policy(Protocol):
@@ -33,29 +33,29 @@
         plan = Plan()
         jobs = [job for job in ledger.jobs.values() if not job.is_over]
         for job in sorted(jobs, key=lambda job: (job.accepted_ms, job.id)):
-            seats = fleet.by_service.get(job.service, [])
-            if not _start_all(job, seats, plan):
+            workers = fleet.by_service.get(job.service, [])
+            if not _start_all(job, workers, plan):
                 break
         return plan
 
 
-def _start_all(job: Job, seats: list[Seat], plan: Plan) -> bool:
+def _start_all(job: Job, workers: list[WorkerAllocation], plan: Plan) -> bool:
     """Add the starts of a job's waiting subtasks; a gang is started whole or not at all."""
     waiting = [n for n, s in job.subtasks.items() if s.active is None and not s.is_done]
-    placed: list[tuple[str, Seat]] = []
+    placed: list[tuple[str, WorkerAllocation]] = []
     for name in waiting:
         step = job.step_of(name)
-        seat = next((s for s in seats if s.takes_work and s.has_room(step)), None)
-        if seat is None:
+        worker = next((s for s in workers if s.takes_work and s.has_room(step)), None)
+        if worker is None:
             break
-        seat.take(job, name)
-        placed.append((name, seat))
+        worker.allocate(job, name)
+        placed.append((name, worker))
     is_whole = len(placed) == len(waiting)
     if not is_whole and any(job.step_of(name).is_gang for name in waiting):
         return False
     number = 1 + max((job.subtasks[name].last_run for name in waiting), default=0)
-    for name, seat in placed:
-        run = Run(number, seat.incarnation.id, seat.incarnation.born)
+    for name, worker in placed:
+        run = Run(number, worker.incarnation.id, worker.incarnation.born)
         plan.starts.append(RunStart(job.id, name, run, job.subtasks[name].checkpoint))
     return is_whole
 
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_world.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_world.py
@@ -34,11 +34,11 @@
     def plan(self, ledger, fleet, now_ms):
         if now_ms != self._at_ms:
             return LeaderPolicy().plan(ledger, fleet, now_ms)
-        seat = next(s for s in fleet.by_service["pool"] if s.occupants)
+        worker = next(s for s in fleet.by_service["pool"] if s.runs)
         plan = Plan()
-        for occupant in seat.occupants:
-            run = occupant.job.subtasks[occupant.subtask].active
-            plan.stops.append(Stop((occupant.job.id, occupant.subtask), run, "x", 0))
+        for allocated_run in worker.runs:
+            run = allocated_run.job.subtasks[allocated_run.subtask].active
+            plan.stops.append(Stop((allocated_run.job.id, allocated_run.subtask), run, "x", 0))
         return plan
 
 
