--- a/packages/agateferry-jobs/agateferry_jobs/cell/callers.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/callers.py
@@ -19,10 +19,12 @@
 class Callers:
     """Answer for jobs, queues and the manifest."""
 
-    def __init__(self, ledger: Ledger, proposer: Proposer, on_change: Callable[[], None]) -> None:
+    def __init__(
+        self, ledger: Ledger, proposer: Proposer, request_planning: Callable[[], None]
+    ) -> None:
         self._ledger = ledger
         self._proposer = proposer
-        self._on_change = on_change
+        self._request_planning = request_planning
         self._log = EventLogger()
 
     async def submit(self, ask: m.Submit, now_ms: int) -> m.Reply:
@@ -61,7 +63,7 @@
             objective_ms=round(queue.stretch * declared_ms(ask.job) + queue.target_ms),
             steps=_shape(ask),
         )
-        self._on_change()
+        self._request_planning()
         return m.Done()
 
     def look(self, ask: m.Look) -> m.Reply:
@@ -90,7 +92,7 @@
             if outcome.is_error():
                 return reply_for(outcome.error)
             self._log.info(events.JOB_CANCELLED, job=job.id, had_started=job.has_started)
-            self._on_change()
+            self._request_planning()
         return m.Done()
 
     async def install(self, manifest: Manifest) -> m.Reply:
@@ -102,7 +104,7 @@
         if outcome.is_error():
             return reply_for(outcome.error)
         self._log.info(events.MANIFEST_IN_FORCE, version=manifest.version)
-        self._on_change()
+        self._request_planning()
         return m.Done()
 
     def read_manifest(self) -> m.Reply:
--- a/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
@@ -12,9 +12,9 @@
 from agateferry_jobs.calls import messages as m
 from agateferry_jobs.cell import events
 from agateferry_jobs.cell.callers import Callers
-from agateferry_jobs.cell.doubts import Doubts
 from agateferry_jobs.cell.proposing import Proposer
-from agateferry_jobs.cell.roster import Roster
+from agateferry_jobs.cell.suspects import SuspectWorkers
+from agateferry_jobs.cell.worker_registry import WorkerRegistry
 from agateferry_jobs.ledger import Ledger, Run
 from agateferry_jobs.ledger import commands as c
 from agateferry_jobs.planning import Fleet, Plan, Planner
@@ -41,9 +41,9 @@
         self._clock = clock
         self._log = EventLogger()
         self._proposer = Proposer(replica)
-        self._doubts = Doubts()
-        self._roster = Roster(ledger, clock, make_port, lease_ms, self, self._proposer)
-        self._callers = Callers(ledger, self._proposer, self.on_change)
+        self._suspects = SuspectWorkers()
+        self._registry = WorkerRegistry(ledger, clock, make_port, lease_ms, self, self._proposer)
+        self._callers = Callers(ledger, self._proposer, self.request_planning)
         self._wall_offset_ms = 0
         self._tokens = 0
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -73,7 +73,7 @@
     async def close(self) -> None:
         """Stop leading."""
         self._stop()
-        await self._roster.clear()
+        await self._registry.clear()
 
     async def _answer(self, ask: m.Ask) -> m.Reply:
         match ask:
@@ -84,9 +84,9 @@
             case m.Cancel():
                 return await self._callers.cancel(ask, self.now_ms)
             case m.Beat():
-                return await self._roster.on_beat(ask)
+                return await self._registry.on_beat(ask)
             case m.Leave(worker):
-                return await self._roster.on_leave(worker)
+                return await self._registry.on_leave(worker)
             case m.Install(manifest):
                 return await self._callers.install(manifest)
             case m.ReadManifest():
@@ -113,10 +113,10 @@
             self._note_end(end)
         for id in {end.job for end in outcome.ok}:
             self._note_job_over(id, at_ms)
-        self.on_change()
+        self.request_planning()
         return True
 
-    def on_change(self) -> None:
+    def request_planning(self) -> None:
         """Plan soon."""
         self._is_plan_due = True
         if not self._has_planner and self._ticker is not None:
@@ -127,14 +127,14 @@
         if not leads:
             self._log.info(events.NOT_LEADING, term=term)
             self._stop()
-            self.spawn(self._roster.clear())
+            self.spawn(self._registry.clear())
             return
         self._log.info(events.LEADING, term=term, jobs=len(self._ledger.jobs))
         self._tokens = 0
         self._wall_offset_ms = self._clock.wall_ms() - self._clock.now_ms()
-        self._roster.fill()
+        self._registry.fill()
         self._ticker = asyncio.get_running_loop().create_task(self._tick())
-        self.on_change()
+        self.request_planning()
 
     def _stop(self) -> None:
         if self._ticker is not None:
@@ -158,9 +158,9 @@
             if not self._replica.is_leader:
                 continue
             if not self._is_planning:
-                await self._roster.settle()
+                await self._registry.settle()
             self._stop_hung()
-            self.on_change()
+            self.request_planning()
 
     async def _plan_all(self) -> None:
         """Plan while something changed, with rests, so that many changes share one plan."""
@@ -181,7 +181,7 @@
     def _make_plan(self) -> Plan:
         self._stop_unwanted()
         fleet = Fleet.of(
-            self._ledger, self._roster.health(self._is_suspect), self._roster.stopping()
+            self._ledger, self._registry.health(self._is_suspect), self._registry.stopping()
         )
         return Planner(self._ledger, fleet, self.now_ms).plan()
 
@@ -205,7 +205,7 @@
             )
             job = self._ledger.jobs.get(start.job)
             self._note_first_start(start)
-            self._roster.start(start, job.spec.payload if job is not None else "")
+            self._registry.start(start, job.spec.payload if job is not None else "")
 
     def _note_first_start(self, start: c.RunStart) -> None:
         job = self._ledger.jobs.get(start.job)
@@ -226,14 +226,14 @@
 
     def _stop_hung(self) -> None:
         now_ms = self._clock.now_ms()
-        for session in self._roster.sessions.values():
+        for session in self._registry.sessions.values():
             if not session.health(False).answers:
                 continue
             for key, tracked in list(session.runs.items()):
                 if not _is_hung(tracked, now_ms) or self._is_long_running(key):
                     continue
                 run = tracked.run
-                if self._doubts.note_failed(run.worker, run.born, key[0], now_ms, weight=2):
+                if self._suspects.note_failed(run.worker, run.born, key[0], now_ms, weight=2):
                     self._log.warning(events.WORKER_SUSPECT, worker=run.worker, reason="hung run")
                 self._stop_run(key, run, "no progress")
 
@@ -242,7 +242,7 @@
         return job is None or job.step_of(key[1]).is_long_running
 
     def _stop_run(self, key: RunKey, run: Run, reason: str, **inputs: str | int) -> None:
-        if self._roster.stop(key, run):
+        if self._registry.stop(key, run):
             metrics.RUNS_STOPPED.labels(reason).inc()
             self._log.info(
                 events.RUN_STOPPING,
@@ -254,7 +254,7 @@
             )
 
     def _is_suspect(self, worker: str, born: int) -> bool:
-        return self._doubts.is_suspect(worker, born, self._clock.now_ms())
+        return self._suspects.is_suspect(worker, born, self._clock.now_ms())
 
     def _note_end(self, end: c.RunEnded) -> None:
         run = end.run
@@ -268,10 +268,10 @@
         )
         metrics.RUNS_ENDED.labels(end.outcome.value).inc()
         if end.outcome is c.RunOutcome.DONE:
-            self._doubts.note_done(run.worker, run.born)
+            self._suspects.note_done(run.worker, run.born)
         elif end.outcome is c.RunOutcome.FAILED:
             now_ms = self._clock.now_ms()
-            if self._doubts.note_failed(run.worker, run.born, end.job, now_ms):
+            if self._suspects.note_failed(run.worker, run.born, end.job, now_ms):
                 self._log.warning(events.WORKER_SUSPECT, worker=run.worker, reason="failed runs")
 
     def _note_job_over(self, id: str, at_ms: int) -> None:
--- a/packages/agateferry-jobs/agateferry_jobs/cell/doubts.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/suspects.py
@@ -19,7 +19,7 @@
     until_ms: int = 0
 
 
-class Doubts:
+class SuspectWorkers:
     """Keep the record of each worker's life."""
 
     def __init__(self) -> None:
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
@@ -240,7 +240,7 @@
             self.leader._make_plan = slow_plan
             end_ms = self.clock.now_ms() + span_s * 1000
             while self.clock.now_ms() < end_ms:
-                self.leader.on_change()
+                self.leader.request_planning()
                 await asyncio.sleep(0.002)
 
         self.check(scenario)
--- a/packages/agateferry-jobs/agateferry_jobs/cell/roster.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
@@ -16,8 +16,8 @@
 from agateferry_jobs.workers.session import PortFactory, SessionListener, WorkerSession
 
 
-class RosterOwner(Protocol):
-    """What the roster asks of the leader."""
+class LeaderHooks(Protocol):
+    """What the worker registry asks of the leader."""
 
     def next_token(self) -> int:
         """Return a fencing token above all before."""
@@ -28,14 +28,14 @@
     async def store_ends(self, ends: tuple[c.RunEnded, ...]) -> bool:
         """Store ends."""
 
-    def on_change(self) -> None:
+    def request_planning(self) -> None:
         """Plan soon."""
 
     def spawn(self, coro: Coroutine[Any, Any, Any]) -> None:
         """Run a task that is watched."""
 
 
-class Roster(SessionListener):
+class WorkerRegistry(SessionListener):
     """Open a session for each life that the ledger holds, and close it when the life is over."""
 
     def __init__(
@@ -44,7 +44,7 @@
         clock: Clock,
         make_port: PortFactory,
         lease_ms: int,
-        owner: RosterOwner,
+        hooks: LeaderHooks,
         proposer: Proposer,
     ) -> None:
         self.sessions: dict[str, WorkerSession] = {}
@@ -52,7 +52,7 @@
         self._clock = clock
         self._make_port = make_port
         self._lease_ms = lease_ms
-        self._owner = owner
+        self._hooks = hooks
         self._proposer = proposer
         self._sequences: dict[tuple[str, int], int] = {}
         self._log = EventLogger()
@@ -64,7 +64,7 @@
             self._open(incarnation, unknown_until_ms)
         lost = self._adopt_all()
         if lost:
-            self._owner.spawn(self._lose(lost))
+            self._hooks.spawn(self._lose(lost))
 
     async def clear(self) -> None:
         """Close all sessions."""
@@ -111,7 +111,7 @@
         if session is not None and session.incarnation.born == start.run.born:
             session.start(start, payload)
         else:
-            self._owner.spawn(self._lose((_lost((start.job, start.subtask), start.run),)))
+            self._hooks.spawn(self._lose((_lost((start.job, start.subtask), start.run),)))
 
     def stop(self, key: RunKey, run: Run) -> bool:
         """Have a run stopped; tell whether that is news."""
@@ -148,23 +148,23 @@
 
     def next_token(self) -> int:
         """Return a fencing token above all before."""
-        return self._owner.next_token()
+        return self._hooks.next_token()
 
     def may_order(self) -> bool:
         """Tell whether orders may go out now."""
-        return self._owner.may_order()
+        return self._hooks.may_order()
 
     async def store_ends(self, ends: tuple[c.RunEnded, ...]) -> bool:
         """Store ends."""
-        return await self._owner.store_ends(ends)
+        return await self._hooks.store_ends(ends)
 
-    def on_change(self) -> None:
+    def request_planning(self) -> None:
         """Plan soon."""
-        self._owner.on_change()
+        self._hooks.request_planning()
 
-    def on_other_life(self, incarnation: WorkerIncarnation) -> None:
+    def on_incarnation_replaced(self, incarnation: WorkerIncarnation) -> None:
         """Conclude the runs of a life that is over; its successor makes itself known."""
-        self._owner.spawn(self._remove(incarnation))
+        self._hooks.spawn(self._remove(incarnation))
 
     def _is_outdated(self, incarnation: WorkerIncarnation) -> bool:
         """Tell whether a younger life is known at the same address."""
@@ -178,7 +178,7 @@
         session = self.sessions.get(incarnation.id)
         if session is not None and session.incarnation.born == incarnation.born:
             session.incarnation = incarnation
-            self.on_change()
+            self.request_planning()
             return
         if session is not None:
             await self._close(session)
@@ -213,7 +213,7 @@
         await self._lose(ends)
 
     async def _lose(self, ends: tuple[c.RunEnded, ...]) -> None:
-        if not ends or not await self._owner.store_ends(ends):
+        if not ends or not await self._hooks.store_ends(ends):
             return
         for end in ends:
             session = self.sessions.get(end.run.worker)
--- a/packages/agateferry-jobs/agateferry_jobs/workers/session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/session.py
@@ -83,10 +83,10 @@
     async def store_ends(self, ends: tuple[RunEnded, ...]) -> bool:
         """Store ends; False where that did not succeed."""
 
-    def on_other_life(self, incarnation: WorkerIncarnation) -> None:
+    def on_incarnation_replaced(self, incarnation: WorkerIncarnation) -> None:
         """Hear that this life is over."""
 
-    def on_change(self) -> None:
+    def request_planning(self) -> None:
         """Hear that a plan may come out differently now."""
 
 
@@ -211,7 +211,7 @@
                 self._told_cursor = max(self._told_cursor, cursor)
                 return await self._take_lists(answer, look)
             case OtherLife():
-                self._listener.on_other_life(self.incarnation)
+                self._listener.on_incarnation_replaced(self.incarnation)
                 return False
             case Rejected(reason="fence"):
                 self._token = self._listener.next_token()
@@ -230,7 +230,7 @@
         if not self._is_failing:
             self._log.warning(events.WORKER_SILENT, detail=detail, runs=len(self.runs))
             self._is_failing = True
-            self._listener.on_change()
+            self._listener.request_planning()
 
     def _note_answering(self, clock_ms: int | None) -> None:
         now_ms = self._clock.now_ms()
@@ -242,11 +242,11 @@
             self._is_failing = False
             for tracked in self.runs.values():
                 tracked.moved_ms = now_ms
-            self._listener.on_change()
+            self._listener.request_planning()
 
     async def _take_lists(self, lists: Listed, look: int) -> bool:
         if lists.born is not None and lists.born != self.incarnation.born:
-            self._listener.on_other_life(self.incarnation)
+            self._listener.on_incarnation_replaced(self.incarnation)
             return False
         if lists.clock_ms < self._clock_seen:
             return True
@@ -254,7 +254,7 @@
         self._note_answering(lists.clock_ms)
         if not self._is_contacted:
             self._is_contacted = True
-            self._listener.on_change()
+            self._listener.request_planning()
         ends = self._ends_told(lists)
         self._note_running(lists)
         ends += self._ends_concluded(lists, look)
--- a/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
@@ -19,7 +19,7 @@
     def __init__(self):
         self.tokens = 0
         self.ends = []
-        self.other_lives = []
+        self.replaced_incarnations = []
         self.stores = True
 
     def next_token(self):
@@ -34,10 +34,10 @@
             self.ends += ends
         return self.stores
 
-    def on_other_life(self, incarnation):
-        self.other_lives.append(incarnation)
+    def on_incarnation_replaced(self, incarnation):
+        self.replaced_incarnations.append(incarnation)
 
-    def on_change(self):
+    def request_planning(self):
         pass
 
 
@@ -143,7 +143,7 @@
         async def scenario():
             self.worker.born = 2
             self.session.start(start_of(*KEY), "payload")
-            await self.until(lambda: self.listener.other_lives, "other life")
+            await self.until(lambda: self.listener.replaced_incarnations, "other life")
 
         self.check(scenario)
 
