--- a/packages/agateferry-cli/agateferry_cli/verbs/membership.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/membership.py
@@ -41,7 +41,7 @@
     """
     body = {"group": group, "action": action, "host": host}
     is_confirmed = yes or action == "admit"
-    return _steer(operators, Output(json), "/v1/cell/members", body, dry_run, is_confirmed)
+    return _change_members(operators, Output(json), "/v1/cell/members", body, dry_run, is_confirmed)
 
 
 def recover(
@@ -68,10 +68,10 @@
         text = "--operators must name just the one host whose log is the truth"
         return output.failure(Failure(ExitCode.USAGE, text, advice))
     body = {"group": group, "lost": list(lost)}
-    return _steer(operators, output, "/v1/cell/recovery", body, dry_run, yes)
+    return _change_members(operators, output, "/v1/cell/recovery", body, dry_run, yes)
 
 
-def _steer(
+def _change_members(
     operators: str,
     output: Output,
     path: str,
--- a/packages/agateferry-service/agateferry_service/operators/membership.py
+++ b/packages/agateferry-service/agateferry_service/operators/membership.py
@@ -20,9 +20,9 @@
 from agateferry_service.http.bodies import ModelT, read_model
 from agateferry_service.http.problems import problem
 from agateferry_service.operators.events import (
-    MEMBERS_STEERED,
+    MEMBERS_CHANGED,
+    MEMBERSHIP_CHANGE_REFUSED,
     RECOVERY_FORCED,
-    STEERING_REFUSED,
 )
 from agateferry_service.operators.hosts import Hosts
 from agateferry_service.operators.refusals import Refused, refused_by
@@ -96,7 +96,7 @@
         if result.is_error():
             return self._refused(body, result.error)
         if result.ok["changed"] and not body.dry_run:
-            self._log.info(MEMBERS_STEERED, asked=body.model_dump(mode="json"))
+            self._log.info(MEMBERS_CHANGED, asked=body.model_dump(mode="json"))
         return JSONResponse(result.ok)
 
     async def recover(self, req: Request) -> Response:
@@ -223,7 +223,9 @@
     def _refused(self, body: BaseModel, refused: Refused) -> Response:
         self._metrics.refused(refused.reason)
         asked = body.model_dump(mode="json")
-        self._log.info(STEERING_REFUSED, reason=refused.reason, detail=refused.detail, asked=asked)
+        self._log.info(
+            MEMBERSHIP_CHANGE_REFUSED, reason=refused.reason, detail=refused.detail, asked=asked
+        )
         return problem(refused.status, refused.reason, refused.detail, run=None)
 
 
