--- a/packages/agateferry-jobs/agateferry_jobs/calls/client.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/client.py
@@ -14,8 +14,7 @@
 from agateferry_core.logs import EventLogger
 from agateferry_core.tasks import is_cancelled_itself
 from agateferry_jobs import metrics
-from agateferry_jobs.calls import events
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import events, messages
 from agateferry_jobs.rpc import leader_pb2 as pb
 from agateferry_jobs.rpc import leader_pb2_grpc as rpc
 
@@ -66,7 +65,7 @@
             if host not in self._hosts:
                 self._hosts.append(host)
 
-    async def ask(self, ask: m.Ask, within_ms: int) -> m.Reply:
+    async def ask(self, ask: messages.Ask, within_ms: int) -> messages.Reply:
         """Ask until a leader replies; `Uncertain` where one may have acted without a reply."""
         until_ms = self._clock.now_ms() + within_ms
         may_have_acted = False
@@ -75,12 +74,14 @@
             if left_ms <= 0:
                 break
             host = self._choose()
-            reply = await self._try(host, ask, min(TRY_MS, left_ms)) if host else m.NotLeader()
+            reply = (
+                await self._try(host, ask, min(TRY_MS, left_ms)) if host else messages.NotLeader()
+            )
             match reply:
-                case m.NotLeader(leader):
+                case messages.NotLeader(leader):
                     metrics.ASK_RETRIES.labels("not-leader").inc()
                     await self._follow(host, leader)
-                case m.Uncertain(reason):
+                case messages.Uncertain(reason):
                     metrics.ASK_RETRIES.labels(reason).inc()
                     may_have_acted = True
                     self._leader = None
@@ -90,8 +91,8 @@
                     self.answered_ms = self._clock.now_ms()
                     return reply
         if may_have_acted:
-            return m.Uncertain("no reply in time")
-        return m.Refused("no leader", 0)
+            return messages.Uncertain("no reply in time")
+        return messages.Refused("no leader", 0)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -116,26 +117,26 @@
         self._leader = None
         await asyncio.sleep(PAUSE_MS / MS_PER_S)
 
-    async def _try(self, host: str, ask: m.Ask, timeout_ms: int) -> m.Reply:
+    async def _try(self, host: str, ask: messages.Ask, timeout_ms: int) -> messages.Reply:
         stub_channel = self._channel(host)
         stub = rpc.LeaderStub(stub_channel)
-        wire = pb.LeaderAsk(ask=m.encode(ask))
+        wire = pb.LeaderAsk(ask=messages.encode(ask))
         try:
             answer = await stub.Ask(wire, timeout=timeout_ms / MS_PER_S)
-            decoded = m.decode_answer(answer.answer)
+            decoded = messages.decode_answer(answer.answer)
         except grpc.aio.AioRpcError as exc:
             self._retire(host, stub_channel)
             self._note_failed(host, exc.code().name, _name(ask))
-            return m.Uncertain(exc.code().name)
+            return messages.Uncertain(exc.code().name)
         except asyncio.CancelledError:
             if is_cancelled_itself():
                 raise
-            return m.Uncertain("its channel was closed by another call")
+            return messages.Uncertain("its channel was closed by another call")
         except grpc.aio.UsageError:
-            return m.Uncertain("its channel was closed by another call")
+            return messages.Uncertain("its channel was closed by another call")
         except msgspec.DecodeError as exc:
             self._log.warning(events.ANSWER_UNREADABLE, host=host, detail=str(exc))
-            return m.Uncertain("unreadable")
+            return messages.Uncertain("unreadable")
         self._failing.discard(host)
         self._learn(decoded.hosts)
         return decoded.reply
@@ -177,5 +178,5 @@
         await channel.close(grace=None)
 
 
-def _name(ask: m.Ask) -> str:
+def _name(ask: messages.Ask) -> str:
     return type(ask).__name__
--- a/packages/agateferry-jobs/agateferry_jobs/cell/callers.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/callers.py
@@ -4,11 +4,10 @@
 
 from agateferry_core.logs import EventLogger
 from agateferry_jobs import metrics
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import messages
 from agateferry_jobs.cell import events
 from agateferry_jobs.cell.proposing import Proposer, reply_for
-from agateferry_jobs.ledger import Job, Ledger
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import Job, Ledger, commands
 from agateferry_jobs.ledger.specs import declared_ms
 from agateferry_jobs.manifest import Manifest, Queue
 
@@ -27,27 +26,31 @@
         self._request_planning = request_planning
         self._log = EventLogger()
 
-    async def submit(self, ask: m.Submit, now_ms: int) -> m.Reply:
+    async def submit(self, ask: messages.Submit, now_ms: int) -> messages.Reply:
         """Store a job, once, whatever number of times it is handed in."""
         reply = await self._submit(ask, now_ms)
-        if not isinstance(reply, m.Done):
+        if not isinstance(reply, messages.Done):
             self._log.info(
                 events.JOB_REFUSED, path=ask.place.path, reason=type(reply).__name__, flaw=ask.flaw
             )
         return reply
 
-    async def _submit(self, ask: m.Submit, now_ms: int) -> m.Reply:
+    async def _submit(self, ask: messages.Submit, now_ms: int) -> messages.Reply:
         found = self._admit(ask.place)
         if not isinstance(found, tuple):
             return found
         queue, team = found
         id = _id_in(ask.place.path, queue)
         if not id or ask.job is None:
-            return m.Invalid(ask.flaw or "no id in the path")
+            return messages.Invalid(ask.flaw or "no id in the path")
         known = self._ledger.jobs.get(id)
         if known is not None:
-            return m.Done() if known.queue == queue.name else m.Invalid("id used in another queue")
-        command = c.AcceptJob(
+            return (
+                messages.Done()
+                if known.queue == queue.name
+                else messages.Invalid("id used in another queue")
+            )
+        command = commands.AcceptJob(
             id, queue.name, queue.service, team, queue.priority, queue.attempts, now_ms, ask.job
         )
         outcome = await self._proposer.propose(command)
@@ -64,9 +67,9 @@
             steps=_shape(ask),
         )
         self._request_planning()
-        return m.Done()
+        return messages.Done()
 
-    def look(self, ask: m.Look) -> m.Reply:
+    def look(self, ask: messages.Look) -> messages.Reply:
         """Tell how far a job got, or how many jobs of a queue wait."""
         found = self._admit(ask.place)
         if not isinstance(found, tuple):
@@ -74,11 +77,11 @@
         queue, _ = found
         id = _id_in(ask.place.path, queue)
         if not id:
-            return m.Counted(self._waiting_in(queue))
+            return messages.Counted(self._waiting_in(queue))
         job = self._job(id, queue)
-        return m.Shown(job.state) if job is not None else m.NoJob()
+        return messages.Shown(job.state) if job is not None else messages.NoJob()
 
-    async def cancel(self, ask: m.Cancel, now_ms: int) -> m.Reply:
+    async def cancel(self, ask: messages.Cancel, now_ms: int) -> messages.Reply:
         """Cancel a job; one that is over stays as it is."""
         found = self._admit(ask.place)
         if not isinstance(found, tuple):
@@ -86,45 +89,45 @@
         queue, _ = found
         job = self._job(_id_in(ask.place.path, queue), queue)
         if job is None:
-            return m.NoJob()
+            return messages.NoJob()
         if not job.is_over:
-            outcome = await self._proposer.propose(c.CancelJob(job.id, now_ms))
+            outcome = await self._proposer.propose(commands.CancelJob(job.id, now_ms))
             if outcome.is_error():
                 return reply_for(outcome.error)
             self._log.info(events.JOB_CANCELLED, job=job.id, had_started=job.has_started)
             self._request_planning()
-        return m.Done()
+        return messages.Done()
 
-    async def install(self, manifest: Manifest) -> m.Reply:
+    async def install(self, manifest: Manifest) -> messages.Reply:
         """Bring a manifest in force; one that is not newer is acknowledged and changes nothing."""
         current = self._ledger.manifest
         if current is not None and manifest.version <= current.version:
-            return m.Done()
-        outcome = await self._proposer.propose(c.PutManifest(manifest))
+            return messages.Done()
+        outcome = await self._proposer.propose(commands.PutManifest(manifest))
         if outcome.is_error():
             return reply_for(outcome.error)
         self._log.info(events.MANIFEST_IN_FORCE, version=manifest.version)
         self._request_planning()
-        return m.Done()
+        return messages.Done()
 
-    def read_manifest(self) -> m.Reply:
+    def read_manifest(self) -> messages.Reply:
         """Return the newest manifest."""
         manifest = self._ledger.manifest
         if manifest is None:
-            return m.Refused("no manifest yet", NO_MANIFEST_RETRY_MS)
-        return m.ManifestRead(manifest.source)
+            return messages.Refused("no manifest yet", NO_MANIFEST_RETRY_MS)
+        return messages.ManifestRead(manifest.source)
 
-    def _admit(self, place: m.Place) -> tuple[Queue, str] | m.Reply:
+    def _admit(self, place: messages.Place) -> tuple[Queue, str] | messages.Reply:
         """Return the queue and the team's name, or why the call is not taken."""
         manifest = self._ledger.manifest
         if manifest is None:
-            return m.Refused("no manifest yet", NO_MANIFEST_RETRY_MS)
+            return messages.Refused("no manifest yet", NO_MANIFEST_RETRY_MS)
         queue = manifest.queue_for(place.host, place.path)
         if queue is None:
-            return m.NoQueue()
+            return messages.NoQueue()
         team = manifest.team_of(place.key)
         if team is None and not queue.is_public:
-            return m.BadKey()
+            return messages.BadKey()
         return queue, team.name if team is not None else ""
 
     def _job(self, id: str, queue: Queue) -> Job | None:
@@ -143,7 +146,7 @@
     return path[len(queue.prefix) :]
 
 
-def _shape(ask: m.Submit) -> list[str]:
+def _shape(ask: messages.Submit) -> list[str]:
     steps = ask.job.steps if ask.job is not None else ()
     return [
         f"{s.count}x{s.need.cpu}c{s.need.mem_mb}m{s.need.gpu}g{'G' if s.is_gang else ''}"
--- a/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
@@ -9,14 +9,13 @@
 from agateferry_core.clock import MS_PER_S, Clock
 from agateferry_core.logs import EventLogger
 from agateferry_jobs import metrics
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import messages
 from agateferry_jobs.cell import events
 from agateferry_jobs.cell.callers import Callers
 from agateferry_jobs.cell.proposing import Proposer
 from agateferry_jobs.cell.suspects import SuspectWorkers
 from agateferry_jobs.cell.worker_registry import WorkerRegistry
-from agateferry_jobs.ledger import Ledger, Run
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import Ledger, Run, commands
 from agateferry_jobs.planning import Fleet, Plan, Planner
 from agateferry_jobs.planning.fleet import RunKey
 from agateferry_jobs.workers.session import Phase, PortFactory, Tracked
@@ -58,15 +57,15 @@
         """Return the time of day in ms, by an offset that stays the same while this host leads."""
         return self._clock.now_ms() + self._wall_offset_ms
 
-    async def handle(self, ask: m.Ask) -> m.Reply:
+    async def handle(self, ask: messages.Ask) -> messages.Reply:
         """Answer one call; nothing is answered on knowledge that may be out of date."""
         if not self._replica.is_leader:
-            return m.NotLeader(self._replica.leader)
+            return messages.NotLeader(self._replica.leader)
         reply = await self._answer(ask)
-        if not self._replica.is_leader and not isinstance(reply, m.Uncertain):
-            reply = m.Uncertain("leadership lapsed before the answer")
+        if not self._replica.is_leader and not isinstance(reply, messages.Uncertain):
+            reply = messages.Uncertain("leadership lapsed before the answer")
         metrics.REPLIES.labels(type(ask).__name__, type(reply).__name__).inc()
-        if isinstance(reply, m.Refused):
+        if isinstance(reply, messages.Refused):
             metrics.REFUSALS.labels(reply.reason).inc()
         return reply
 
@@ -75,24 +74,24 @@
         self._stop()
         await self._registry.clear()
 
-    async def _answer(self, ask: m.Ask) -> m.Reply:
+    async def _answer(self, ask: messages.Ask) -> messages.Reply:
         match ask:
-            case m.Submit():
+            case messages.Submit():
                 return await self._callers.submit(ask, self.now_ms)
-            case m.Look():
+            case messages.Look():
                 return self._callers.look(ask)
-            case m.Cancel():
+            case messages.Cancel():
                 return await self._callers.cancel(ask, self.now_ms)
-            case m.Beat():
+            case messages.Beat():
                 return await self._registry.on_beat(ask)
-            case m.Leave(worker):
+            case messages.Leave(worker):
                 return await self._registry.on_leave(worker)
-            case m.Install(manifest):
+            case messages.Install(manifest):
                 return await self._callers.install(manifest)
-            case m.ReadManifest():
+            case messages.ReadManifest():
                 return self._callers.read_manifest()
-            case m.Ping():
-                return m.Done()
+            case messages.Ping():
+                return messages.Done()
 
     def next_token(self) -> int:
         """Return a fencing token above all that this or an earlier leader gave out."""
@@ -103,10 +102,10 @@
         """Tell whether orders may go out now."""
         return self._replica.is_leader
 
-    async def store_ends(self, ends: tuple[c.RunEnded, ...]) -> bool:
+    async def store_ends(self, ends: tuple[commands.RunEnded, ...]) -> bool:
         """Store how runs ended and plan anew."""
         at_ms = self.now_ms
-        outcome = await self._proposer.propose(c.EndRuns(ends, at_ms))
+        outcome = await self._proposer.propose(commands.EndRuns(ends, at_ms))
         if outcome.is_error():
             return False
         for end in outcome.ok:
@@ -191,7 +190,7 @@
         if not plan.starts:
             return
         outcome: Result[Any, Any] = await self._proposer.propose(
-            c.StartRuns(tuple(plan.starts), self.now_ms)
+            commands.StartRuns(tuple(plan.starts), self.now_ms)
         )
         if outcome.is_error() or not self._replica.is_leader:
             return
@@ -207,7 +206,7 @@
             self._note_first_start(start)
             self._registry.start(start, job.spec.payload if job is not None else "")
 
-    def _note_first_start(self, start: c.RunStart) -> None:
+    def _note_first_start(self, start: commands.RunStart) -> None:
         job = self._ledger.jobs.get(start.job)
         if job is not None and start.subtask == "0.0.0" and start.run.number == 1:
             waited_s = (self.now_ms - job.accepted_ms) / MS_PER_S
@@ -256,7 +255,7 @@
     def _is_suspect(self, worker: str, born: int) -> bool:
         return self._suspects.is_suspect(worker, born, self._clock.now_ms())
 
-    def _note_end(self, end: c.RunEnded) -> None:
+    def _note_end(self, end: commands.RunEnded) -> None:
         run = end.run
         self._log.info(
             events.RUN_ENDED,
@@ -267,9 +266,9 @@
             how=end.outcome,
         )
         metrics.RUNS_ENDED.labels(end.outcome.value).inc()
-        if end.outcome is c.RunOutcome.DONE:
+        if end.outcome is commands.RunOutcome.DONE:
             self._suspects.note_done(run.worker, run.born)
-        elif end.outcome is c.RunOutcome.FAILED:
+        elif end.outcome is commands.RunOutcome.FAILED:
             now_ms = self._clock.now_ms()
             if self._suspects.note_failed(run.worker, run.born, end.job, now_ms):
                 self._log.warning(events.WORKER_SUSPECT, worker=run.worker, reason="failed runs")
--- a/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
@@ -5,9 +5,9 @@
 from expression import Error, Ok, Result
 
 from agateferry_core.logs import EventLogger
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import messages
 from agateferry_jobs.cell import events
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import commands
 from agateferry_state.replica.protocols import ProposeError, ProposeErrorKind, Replica
 
 
@@ -18,9 +18,9 @@
         self._replica = replica
         self._log = EventLogger()
 
-    async def propose(self, command: c.Command) -> Result[Any, ProposeError]:
+    async def propose(self, command: commands.Command) -> Result[Any, ProposeError]:
         """Return the outcome of a command once it is stored and applied here."""
-        match await self._replica.propose(c.encode(command)):
+        match await self._replica.propose(commands.encode(command)):
             case Result(tag="ok", ok=applied):
                 return Ok(applied.outcome)
             case Result(error=error):
@@ -33,8 +33,8 @@
                 return Error(error)
 
 
-def reply_for(error: ProposeError) -> m.Reply:
+def reply_for(error: ProposeError) -> messages.Reply:
     """Return what is told to the one who asked for a command without an outcome."""
     if error.kind is ProposeErrorKind.UNKNOWN:
-        return m.Uncertain(error.detail or error.kind)
-    return m.NotLeader(error.leader)
+        return messages.Uncertain(error.detail or error.kind)
+    return messages.NotLeader(error.leader)
--- a/packages/agateferry-jobs/agateferry_jobs/cell/servicer.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/servicer.py
@@ -5,7 +5,7 @@
 import grpc
 import msgspec
 
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import messages
 from agateferry_jobs.rpc import leader_pb2 as pb
 from agateferry_jobs.rpc import leader_pb2_grpc as rpc
 
@@ -13,7 +13,7 @@
 class LeaderServicer(rpc.LeaderServicer):
     """Decode a question, have it answered and encode the answer."""
 
-    def __init__(self, answer: Callable[[m.Ask], Awaitable[m.Answer]]) -> None:
+    def __init__(self, answer: Callable[[messages.Ask], Awaitable[messages.Answer]]) -> None:
         self._answer = answer
 
     async def Ask(  # noqa: N802
@@ -21,7 +21,7 @@
     ) -> pb.LeaderAnswer:
         """Answer one question."""
         try:
-            ask = m.decode_ask(request.ask)
+            ask = messages.decode_ask(request.ask)
         except msgspec.DecodeError as exc:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(exc))
-        return pb.LeaderAnswer(answer=m.encode(await self._answer(ask)))
+        return pb.LeaderAnswer(answer=messages.encode(await self._answer(ask)))
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
@@ -11,7 +11,7 @@
 import testtools
 
 from agateferry_core.support import run_virtual
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import messages
 from agateferry_jobs.cell.leader import Leader
 from agateferry_jobs.ledger import Ledger
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
@@ -80,7 +80,7 @@
 
     async def play(self):
         self.replica.lead()
-        await self.leader.handle(m.Install(manifest()))
+        await self.leader.handle(messages.Install(manifest()))
         ticking = asyncio.create_task(self.tick_for_ever())
         try:
             for step in range(STEPS):
@@ -112,8 +112,8 @@
         )
 
     async def submit(self, id):
-        place = m.Place("host", f"/jobs/{id}", "key")
-        await self.leader.handle(m.Submit(place, self.rng.choice((SINGLE, GANG))))
+        place = messages.Place("host", f"/jobs/{id}", "key")
+        await self.leader.handle(messages.Submit(place, self.rng.choice((SINGLE, GANG))))
 
     def any_port(self):
         return self.ports[self.rng.choice(sorted(self.ports))]
@@ -163,7 +163,7 @@
         old.running.clear()
         self.incarnations[id] = worker(id, born=old.born + 1)
         self.ports[id] = self.new_port(old.born + 1)
-        await self.leader.handle(m.Beat(self.incarnations[id], 1))
+        await self.leader.handle(messages.Beat(self.incarnations[id], 1))
 
     async def change_leader(self):
         self.replica.lead(False)
@@ -195,7 +195,7 @@
     async def beat(self):
         for id, port in self.ports.items():
             if not port.is_cut and self.replica.is_leader:
-                await self.leader.handle(m.Beat(self.incarnations[id], self.clock.now_ms()))
+                await self.leader.handle(messages.Beat(self.incarnations[id], self.clock.now_ms()))
 
     def check(self):
         self.check_once()
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
@@ -5,10 +5,9 @@
 
 from agateferry_core.clock import SystemClock
 from agateferry_core.support import run_async
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import messages
 from agateferry_jobs.cell.leader import HUNG_MS, PLAN_REST, Leader
-from agateferry_jobs.ledger import JobState, Ledger, WorkerState
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import JobState, Ledger, WorkerState, commands
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
 from agateferry_jobs.support.making import NEED
@@ -20,7 +19,7 @@
 
 
 def place(path=ID, key="key", host="host"):
-    return m.Place(host, f"/jobs/{path}", key)
+    return messages.Place(host, f"/jobs/{path}", key)
 
 
 class LeaderCase(testtools.TestCase):
@@ -32,7 +31,7 @@
             self.replica = MemoryReplica(self.ledger)
             self.leader = Leader(self.replica, self.ledger, self.clock, self.port_to, lease_ms)
             self.replica.lead()
-            await self.ask(m.Install(manifest()))
+            await self.ask(messages.Install(manifest()))
             try:
                 await scenario()
             finally:
@@ -50,7 +49,7 @@
         return await self.leader.handle(ask)
 
     async def beat(self, incarnation, sequence=1):
-        return await self.ask(m.Beat(incarnation, sequence))
+        return await self.ask(messages.Beat(incarnation, sequence))
 
     async def until(self, condition, what):
         for _ in range(600):
@@ -63,40 +62,42 @@
         await self.until(lambda: len(self.ports[id].running) == count, f"{count} runs on {id}")
 
     async def state(self):
-        return (await self.ask(m.Look(place()))).state
+        return (await self.ask(messages.Look(place()))).state
 
 
 class CallTests(LeaderCase):
     def test_a_job_runs_to_its_end(self):
         async def scenario():
             await self.beat(worker("w1"))
-            self.assertEqual(m.Done(), await self.ask(m.Submit(place(), JOB)))
+            self.assertEqual(messages.Done(), await self.ask(messages.Submit(place(), JOB)))
             await self.running_on("w1")
             self.assertEqual(JobState.RUNNING, await self.state())
             self.ports["w1"].end((ID, "0.0.0"), "done")
             await self.until(lambda: self.ledger.jobs[ID].is_completed, "completed")
             self.assertEqual(JobState.COMPLETED, await self.state())
-            self.assertEqual(m.Done(), await self.ask(m.Submit(place(), JOB)))
+            self.assertEqual(messages.Done(), await self.ask(messages.Submit(place(), JOB)))
 
         self.check(scenario)
 
     def test_calls_are_refused_as_the_manifest_in_force_says(self):
         async def scenario():
-            self.assertEqual(m.NoQueue(), await self.ask(m.Look(place(host="other"))))
-            self.assertEqual(m.BadKey(), await self.ask(m.Look(place(key="old"))))
-            self.assertEqual(m.NoJob(), await self.ask(m.Look(place())))
-            self.assertEqual(m.NoJob(), await self.ask(m.Cancel(place())))
-            self.assertIsInstance(await self.ask(m.Submit(place(), None, "flaw")), m.Invalid)
+            self.assertEqual(messages.NoQueue(), await self.ask(messages.Look(place(host="other"))))
+            self.assertEqual(messages.BadKey(), await self.ask(messages.Look(place(key="old"))))
+            self.assertEqual(messages.NoJob(), await self.ask(messages.Look(place())))
+            self.assertEqual(messages.NoJob(), await self.ask(messages.Cancel(place())))
+            self.assertIsInstance(
+                await self.ask(messages.Submit(place(), None, "flaw")), messages.Invalid
+            )
 
         self.check(scenario)
 
     def test_a_queue_counts_what_has_not_begun(self):
         async def scenario():
-            await self.ask(m.Submit(place(), JOB))
-            self.assertEqual(m.Counted(1), await self.ask(m.Look(place(""))))
+            await self.ask(messages.Submit(place(), JOB))
+            self.assertEqual(messages.Counted(1), await self.ask(messages.Look(place(""))))
             await self.beat(worker("w1"))
             await self.running_on("w1")
-            self.assertEqual(m.Counted(0), await self.ask(m.Look(place(""))))
+            self.assertEqual(messages.Counted(0), await self.ask(messages.Look(place(""))))
 
         self.check(scenario)
 
@@ -104,7 +105,7 @@
         async def scenario():
             self.replica.is_leader = False
             self.replica.leader = "there"
-            self.assertEqual(m.NotLeader("there"), await self.ask(m.Look(place())))
+            self.assertEqual(messages.NotLeader("there"), await self.ask(messages.Look(place())))
             self.replica.is_leader = True
 
         self.check(scenario)
@@ -112,9 +113,9 @@
     def test_a_job_whose_fate_is_unknown_is_neither_accepted_nor_refused(self):
         async def scenario():
             self.replica.fate = lambda _: ProposeErrorKind.UNKNOWN
-            self.assertIsInstance(await self.ask(m.Submit(place(), JOB)), m.Uncertain)
+            self.assertIsInstance(await self.ask(messages.Submit(place(), JOB)), messages.Uncertain)
             self.replica.fate = lambda _: None
-            self.assertEqual(m.Done(), await self.ask(m.Submit(place(), JOB)))
+            self.assertEqual(messages.Done(), await self.ask(messages.Submit(place(), JOB)))
 
         self.check(scenario)
 
@@ -122,10 +123,12 @@
 class RunTests(LeaderCase):
     def test_no_order_goes_out_before_its_intent_is_stored(self):
         async def scenario():
-            is_start = lambda data: isinstance(c.decode(data), c.StartRuns)  # noqa: E731
+            is_start = lambda data: isinstance(  # noqa: E731
+                commands.decode(data), commands.StartRuns
+            )
             self.replica.fate = lambda data: ProposeErrorKind.NOT_LEADER if is_start(data) else None
             await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.ask(messages.Submit(place(), JOB))
             await asyncio.sleep(0.5)
             self.assertEqual([], self.ports["w1"].starts)
             self.replica.fate = lambda _: None
@@ -135,10 +138,12 @@
 
     def test_a_start_that_is_stored_without_a_clear_outcome_runs_in_the_end(self):
         async def scenario():
-            is_start = lambda data: isinstance(c.decode(data), c.StartRuns)  # noqa: E731
+            is_start = lambda data: isinstance(  # noqa: E731
+                commands.decode(data), commands.StartRuns
+            )
             self.replica.fate = lambda data: ProposeErrorKind.UNKNOWN if is_start(data) else None
             await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.ask(messages.Submit(place(), JOB))
             await self.until(lambda: self.ledger.jobs[ID].has_started, "stored")
             self.replica.fate = lambda _: None
             await self.running_on("w1")
@@ -148,9 +153,9 @@
     def test_a_cancelled_job_is_stopped(self):
         async def scenario():
             await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.ask(messages.Submit(place(), JOB))
             await self.running_on("w1")
-            await self.ask(m.Cancel(place()))
+            await self.ask(messages.Cancel(place()))
             await self.running_on("w1", 0)
             self.assertEqual(JobState.CANCELLED, await self.state())
 
@@ -159,7 +164,7 @@
     def test_a_new_leader_takes_over_what_runs(self):
         async def scenario():
             await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.ask(messages.Submit(place(), JOB))
             await self.running_on("w1")
             self.replica.lead(False)
             self.replica.lead()
@@ -174,7 +179,7 @@
     def test_a_draining_worker_gets_nothing_once_that_is_acknowledged(self):
         async def scenario():
             await self.beat(worker("w1", state=WorkerState.DRAINING))
-            await self.ask(m.Submit(place(), JOB))
+            await self.ask(messages.Submit(place(), JOB))
             await asyncio.sleep(0.4)
             self.assertEqual([], self.ports["w1"].starts)
 
@@ -183,7 +188,7 @@
     def test_work_of_a_life_that_is_over_runs_elsewhere_at_once(self):
         async def scenario():
             await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.ask(messages.Submit(place(), JOB))
             await self.running_on("w1")
             await self.beat(worker("w2"))
             await self.beat(worker("w1", born=2, state=WorkerState.DRAINING))
@@ -194,7 +199,7 @@
     def test_work_of_a_silent_worker_runs_elsewhere_only_after_its_lease(self):
         async def scenario():
             await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.ask(messages.Submit(place(), JOB))
             await self.running_on("w1")
             silent = self.ports["w1"]
             silent.is_cut = True
@@ -213,7 +218,7 @@
             step = StepSpec(2, WHOLE, is_gang=True)
             await self.until(lambda: len(self.ports) == 2, "sessions")
             self.ports["w2"].is_full = True
-            await self.ask(m.Submit(place(), JobSpec("payload", (step,))))
+            await self.ask(messages.Submit(place(), JobSpec("payload", (step,))))
             await self.until(lambda: self.ports["w1"].starts, "one member")
             async with asyncio.timeout(HUNG_MS / 2 / 1000):
                 await self.running_on("w1", 0)
--- a/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
@@ -5,11 +5,10 @@
 
 from agateferry_core.clock import Clock
 from agateferry_core.logs import EventLogger
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import messages
 from agateferry_jobs.cell import events
 from agateferry_jobs.cell.proposing import Proposer, reply_for
-from agateferry_jobs.ledger import Ledger, Run, WorkerIncarnation, WorkerState
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import Ledger, Run, WorkerIncarnation, WorkerState, commands
 from agateferry_jobs.planning import WorkerHealth
 from agateferry_jobs.planning.fleet import RunKey
 from agateferry_jobs.workers.lease import Lease, longest_local_ms
@@ -25,7 +24,7 @@
     def may_order(self) -> bool:
         """Tell whether orders may go out now."""
 
-    async def store_ends(self, ends: tuple[c.RunEnded, ...]) -> bool:
+    async def store_ends(self, ends: tuple[commands.RunEnded, ...]) -> bool:
         """Store ends."""
 
     def request_planning(self) -> None:
@@ -72,15 +71,15 @@
         for session in sessions.values():
             await session.close()
 
-    async def on_beat(self, beat: m.Beat) -> m.Reply:
+    async def on_beat(self, beat: messages.Beat) -> messages.Reply:
         """Take in what a worker says of itself; an answer says that it is stored."""
         incarnation = beat.worker
         key = (incarnation.id, incarnation.born)
         if beat.sequence < self._sequences.get(key, -1):
-            return m.Done()
+            return messages.Done()
         known = self._ledger.workers.get(incarnation.id)
         if known != incarnation and not self._is_outdated(incarnation):
-            outcome = await self._proposer.propose(c.NoteWorker(incarnation))
+            outcome = await self._proposer.propose(commands.NoteWorker(incarnation))
             if outcome.is_error():
                 return reply_for(outcome.error)
             if outcome.ok:
@@ -96,16 +95,16 @@
         session = self.sessions.get(incarnation.id)
         if session is not None and session.incarnation.born == incarnation.born:
             session.note_beat()
-        return m.Done()
+        return messages.Done()
 
-    async def on_leave(self, worker: str) -> m.Reply:
+    async def on_leave(self, worker: str) -> messages.Reply:
         """Take in that a worker ends; what ran there is over."""
         incarnation = self._ledger.workers.get(worker)
         if incarnation is not None and not await self._remove(incarnation):
-            return m.Uncertain("not stored")
-        return m.Done()
+            return messages.Uncertain("not stored")
+        return messages.Done()
 
-    def start(self, start: c.RunStart, payload: str) -> None:
+    def start(self, start: commands.RunStart, payload: str) -> None:
         """Order a run whose intent is stored."""
         session = self.sessions.get(start.run.worker)
         if session is not None and session.incarnation.born == start.run.born:
@@ -154,7 +153,7 @@
         """Tell whether orders may go out now."""
         return self._hooks.may_order()
 
-    async def store_ends(self, ends: tuple[c.RunEnded, ...]) -> bool:
+    async def store_ends(self, ends: tuple[commands.RunEnded, ...]) -> bool:
         """Store ends."""
         return await self._hooks.store_ends(ends)
 
@@ -197,7 +196,7 @@
             incarnation.capacity,
             state=WorkerState.GONE,
         )
-        outcome = await self._proposer.propose(c.NoteWorker(gone))
+        outcome = await self._proposer.propose(commands.NoteWorker(gone))
         if outcome.is_error():
             return False
         self._log.info(events.WORKER_GONE, worker=incarnation.id, born=incarnation.born)
@@ -212,7 +211,7 @@
         await session.close()
         await self._lose(ends)
 
-    async def _lose(self, ends: tuple[c.RunEnded, ...]) -> None:
+    async def _lose(self, ends: tuple[commands.RunEnded, ...]) -> None:
         if not ends or not await self._hooks.store_ends(ends):
             return
         for end in ends:
@@ -226,7 +225,7 @@
             incarnation, self._make_port(incarnation), self, self._clock, lease
         )
 
-    def _adopt_all(self) -> tuple[c.RunEnded, ...]:
+    def _adopt_all(self) -> tuple[commands.RunEnded, ...]:
         """Have each run of the ledger looked after; return those whose worker's life is over.
 
         A start whose storing had no clear outcome is in the ledger without ever being ordered.
@@ -245,5 +244,5 @@
         return tuple(lost)
 
 
-def _lost(key: RunKey, run: Run) -> c.RunEnded:
-    return c.RunEnded(key[0], key[1], run, c.RunOutcome.LOST)
+def _lost(key: RunKey, run: Run) -> commands.RunEnded:
+    return commands.RunEnded(key[0], key[1], run, commands.RunOutcome.LOST)
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/cell.py
@@ -8,8 +8,7 @@
 
 from agateferry_core.clock import MS_PER_S, Clock
 from agateferry_core.logs import EventLogger
-from agateferry_jobs.calls import LeaderClient
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import LeaderClient, messages
 from agateferry_jobs.cell.leader import Leader
 from agateferry_jobs.cell.servicer import LeaderServicer
 from agateferry_jobs.daemon import events
@@ -88,18 +87,18 @@
         await self._transport.close()
         await self.client.close()
 
-    async def answer(self, ask: m.Ask) -> m.Answer:
+    async def answer(self, ask: messages.Ask) -> messages.Answer:
         """Answer a question of another host."""
         if self._leader is None or self._replica is None:
-            return m.Answer(m.NotLeader())
+            return messages.Answer(messages.NotLeader())
         reply = await self._leader.handle(ask)
         hosts = tuple(member.id.host for member in self._replica.members.voters)
-        return m.Answer(reply, hosts)
+        return messages.Answer(reply, hosts)
 
-    async def ask(self, ask: m.Ask, within_ms: int) -> m.Reply:
+    async def ask(self, ask: messages.Ask, within_ms: int) -> messages.Reply:
         """Answer here where this host leads, else ask the host that does."""
         answer = await self.answer(ask)
-        if not isinstance(answer.reply, m.NotLeader):
+        if not isinstance(answer.reply, messages.NotLeader):
             return answer.reply
         self.client.add_hosts(answer.hosts)
         return await self.client.ask(ask, within_ms)
@@ -113,7 +112,7 @@
         """Return the hosts to greet: the seeds, and for a late comer those that they know."""
         if self.cfg.may_bootstrap:
             return self.cfg.seeds
-        await self.client.ask(m.Ping(), DISCOVERY_TRY_MS)
+        await self.client.ask(messages.Ping(), DISCOVERY_TRY_MS)
         return self.client.hosts
 
     def _join(self, hosts: tuple[str, ...], may_bootstrap: bool) -> NodeReplica:
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
@@ -8,8 +8,7 @@
 
 from agateferry_core.clock import SystemClock
 from agateferry_core.support import free_port, run_async
-from agateferry_jobs.calls import LeaderClient
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import LeaderClient, messages
 from agateferry_jobs.daemon.cell import CellHost
 from agateferry_jobs.ledger import JobState
 from agateferry_jobs.ledger.specs import JobSpec, StepSpec
@@ -26,11 +25,11 @@
 
 
 def submit(id):
-    return m.Submit(m.Place("host", f"/jobs/{id}", "key"), JOB)
+    return messages.Submit(messages.Place("host", f"/jobs/{id}", "key"), JOB)
 
 
 def look(id):
-    return m.Look(m.Place("host", f"/jobs/{id}", "key"))
+    return messages.Look(messages.Place("host", f"/jobs/{id}", "key"))
 
 
 class CellCase(testtools.TestCase):
@@ -80,7 +79,9 @@
                 stack.push_async_callback(self.client.close)
                 self.hosts = {ip: self.make(ip) for ip in IPS}
                 await asyncio.gather(*(host.start() for host in self.hosts.values()))
-                self.assertEqual(m.Done(), await self.client.ask(m.Install(manifest()), ASK_MS))
+                self.assertEqual(
+                    messages.Done(), await self.client.ask(messages.Install(manifest()), ASK_MS)
+                )
                 await self.until(lambda: self.all_vote(set(IPS)), "all three vote")
                 try:
                     await scenario()
@@ -109,11 +110,11 @@
 class KillTests(CellCase):
     def test_callers_are_served_again_soon_after_the_leader_is_killed(self):
         async def scenario():
-            self.assertEqual(m.Done(), await self.client.ask(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.ask(submit("a"), ASK_MS))
             leader = self.hosts["127.0.0.1"].leader_host
             await self.kill(self.hosts.pop(leader))
             reply = await self.client.ask(look("a"), ASK_MS)
-            self.assertEqual(m.Shown(JobState.QUEUED), reply)
+            self.assertEqual(messages.Shown(JobState.QUEUED), reply)
 
         self.check(scenario)
 
@@ -125,12 +126,12 @@
                 asked = asyncio.create_task(self.client.ask(submit(f"job-{seed}"), 300))
                 await asyncio.sleep(rng.random() * 0.03)
                 await asyncio.gather(*(self.kill(host) for host in self.hosts.values()))
-                if isinstance(await asked, m.Done):
+                if isinstance(await asked, messages.Done):
                     accepted.append(f"job-{seed}")
                 await asyncio.gather(*(self.restart(ip) for ip in IPS))
                 for id in accepted:
                     reply = await self.client.ask(look(id), ASK_MS)
-                    self.assertEqual(m.Shown(JobState.QUEUED), reply, id)
+                    self.assertEqual(messages.Shown(JobState.QUEUED), reply, id)
 
         self.check(scenario)
 
@@ -145,10 +146,10 @@
         cell had no majority, and jobs were lost."""
 
         async def scenario():
-            self.assertEqual(m.Done(), await self.client.ask(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.ask(submit("a"), ASK_MS))
             for ip in IPS[:2]:
                 self.fill(self.hosts[ip])
-            self.assertEqual(m.Done(), await self.client.ask(submit("b"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.ask(submit("b"), ASK_MS))
             for host in self.hosts.values():
                 await self.until(lambda host=host: {"a", "b"} <= {*host.ledger.jobs}, "both jobs")
                 self.assertIsNone(host._replica.failure)
@@ -159,7 +160,7 @@
 class ReplaceTests(CellCase):
     def test_an_empty_host_at_a_new_address_takes_the_place_of_one_that_is_gone(self):
         async def scenario():
-            self.assertEqual(m.Done(), await self.client.ask(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.ask(submit("a"), ASK_MS))
             leader = self.hosts["127.0.0.1"].leader_host
             gone = next(ip for ip in IPS if ip != leader)
             await self.kill(self.hosts.pop(gone))
--- a/packages/agateferry-jobs/agateferry_jobs/entry/watch.py
+++ b/packages/agateferry-jobs/agateferry_jobs/entry/watch.py
@@ -4,8 +4,7 @@
 
 from agateferry_core.clock import MS_PER_S, Clock
 from agateferry_core.logs import EventLogger
-from agateferry_jobs.calls import LeaderClient
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import LeaderClient, messages
 from agateferry_jobs.daemon import events
 
 PING_MS = 500
@@ -41,7 +40,7 @@
         while True:
             at_ms = self._client.answered_ms
             if at_ms is None or self._clock.now_ms() - at_ms >= PING_MS:
-                await self._client.ask(m.Ping(), PING_TIMEOUT_MS)
+                await self._client.ask(messages.Ping(), PING_TIMEOUT_MS)
             self._note()
             await asyncio.sleep(PING_MS / MS_PER_S / 2)
 
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import commands
 from agateferry_jobs.ledger.durations import DurationEstimate
 from agateferry_jobs.ledger.specs import JobSpec
 from agateferry_jobs.ledger.state import (
@@ -69,18 +69,18 @@
 
     def apply(self, index: int, command: bytes) -> Any:
         """Apply one command and return its outcome."""
-        match c.decode(command):
-            case c.PutManifest(manifest):
+        match commands.decode(command):
+            case commands.PutManifest(manifest):
                 return self._put_manifest(manifest)
-            case c.AcceptJob() as accepted:
+            case commands.AcceptJob() as accepted:
                 return self._accept(accepted)
-            case c.CancelJob(id, at_ms):
+            case commands.CancelJob(id, at_ms):
                 return self._cancel(id, at_ms)
-            case c.NoteWorker(worker):
+            case commands.NoteWorker(worker):
                 return self._note_worker(worker)
-            case c.StartRuns(starts, at_ms):
+            case commands.StartRuns(starts, at_ms):
                 return tuple(start for start in starts if self._start(start, at_ms))
-            case c.EndRuns(ends, at_ms):
+            case commands.EndRuns(ends, at_ms):
                 return tuple(end for end in ends if self._end(end, at_ms))
 
     def snapshot(self) -> bytes:
@@ -98,7 +98,7 @@
         self.state.manifest = manifest
         return True
 
-    def _accept(self, command: c.AcceptJob) -> bool:
+    def _accept(self, command: commands.AcceptJob) -> bool:
         if command.id in self.jobs:
             return False
         self._forget_old(command.at_ms)
@@ -146,7 +146,7 @@
         self.workers[worker.id] = worker
         return True
 
-    def _start(self, start: c.RunStart, at_ms: int) -> bool:
+    def _start(self, start: commands.RunStart, at_ms: int) -> bool:
         job = self.jobs.get(start.job)
         if job is None or job.is_over:
             return False
@@ -163,7 +163,7 @@
         job.has_started = True
         return True
 
-    def _end(self, end: c.RunEnded, at_ms: int) -> bool:
+    def _end(self, end: commands.RunEnded, at_ms: int) -> bool:
         job = self.jobs.get(end.job)
         subtask = job.subtasks.get(end.subtask) if job is not None else None
         if job is None or subtask is None:
@@ -178,20 +178,24 @@
         _settle(job, at_ms)
         if job.is_over:
             _drop_idle(job)
-        return was_active or end.outcome is c.RunOutcome.DONE
+        return was_active or end.outcome is commands.RunOutcome.DONE
 
-    def _note_length(self, job: Job, subtask: Subtask, end: c.RunEnded, at_ms: int) -> None:
+    def _note_length(self, job: Job, subtask: Subtask, end: commands.RunEnded, at_ms: int) -> None:
         """Learn from a run that did all of its work by itself."""
         step = job.step_of(end.subtask)
-        if end.outcome is c.RunOutcome.DONE and not step.is_long_running and not subtask.checkpoint:
+        if (
+            end.outcome is commands.RunOutcome.DONE
+            and not step.is_long_running
+            and not subtask.checkpoint
+        ):
             record = self.state.lengths.setdefault(job.queue, DurationEstimate())
             record.note(step.estimated_ms, at_ms - subtask.started_ms)
 
-    def _count(self, job: Job, subtask: Subtask, end: c.RunEnded, was_active: bool) -> None:
+    def _count(self, job: Job, subtask: Subtask, end: commands.RunEnded, was_active: bool) -> None:
         step = job.step_of(end.subtask)
-        if end.outcome is c.RunOutcome.DONE and not step.is_long_running:
+        if end.outcome is commands.RunOutcome.DONE and not step.is_long_running:
             _mark_done(job, end)
-        if end.outcome is c.RunOutcome.FAILED and was_active:
+        if end.outcome is commands.RunOutcome.FAILED and was_active:
             subtask.failures += 1
             gang = job.gangs[gang_of(end.subtask)]
             if end.run.number > gang.failed_run:
@@ -204,7 +208,7 @@
     return known.state is WorkerState.DRAINING and word.state is WorkerState.READY
 
 
-def _mark_done(job: Job, end: c.RunEnded) -> None:
+def _mark_done(job: Job, end: commands.RunEnded) -> None:
     """Note a subtask as done; one member's end stands for its whole gang."""
     names = [end.subtask]
     if job.step_of(end.subtask).is_gang:
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
@@ -1,8 +1,7 @@
 import msgspec
 import testtools
 
-from agateferry_jobs.ledger import Ledger
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import Ledger, commands
 from agateferry_jobs.ledger.durations import MIN_RUNS, DurationEstimate
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.support import job_command, start_of
@@ -39,25 +38,25 @@
         self.ledger = Ledger()
 
     def do(self, command):
-        return self.ledger.apply(1, c.encode(command))
+        return self.ledger.apply(1, commands.encode(command))
 
     def end(self, id, outcome, checkpoint=""):
         self.do(job_command(id, StepSpec(1, NEED, estimated_ms=1000)))
         start = start_of(id, "0.0.0")
-        self.do(c.StartRuns((start,), 100))
+        self.do(commands.StartRuns((start,), 100))
         if checkpoint:
             self.ledger.jobs[id].subtasks["0.0.0"].checkpoint = checkpoint
-        self.do(c.EndRuns((c.RunEnded(id, "0.0.0", start.run, outcome),), 4100))
+        self.do(commands.EndRuns((commands.RunEnded(id, "0.0.0", start.run, outcome),), 4100))
 
     def test_runs_that_did_all_their_work_count(self):
-        self.end("done", c.RunOutcome.DONE)
-        self.end("failed", c.RunOutcome.FAILED)
-        self.end("resumed", c.RunOutcome.DONE, checkpoint="saved")
+        self.end("done", commands.RunOutcome.DONE)
+        self.end("failed", commands.RunOutcome.FAILED)
+        self.end("resumed", commands.RunOutcome.DONE, checkpoint="saved")
         self.assertEqual(1, self.ledger.state.lengths["queue"].runs)
 
     def test_they_survive_a_snapshot(self):
         for number in range(MIN_RUNS):
-            self.end(f"j{number}", c.RunOutcome.DONE)
+            self.end(f"j{number}", commands.RunOutcome.DONE)
         before = self.ledger.expected_ms("queue", 1000)
         self.ledger.restore(self.ledger.snapshot())
         self.assertEqual(before, self.ledger.expected_ms("queue", 1000))
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
@@ -1,7 +1,6 @@
 import testtools
 
-from agateferry_jobs.ledger import JobState, Ledger, Run, WorkerState
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import JobState, Ledger, Run, WorkerState, commands
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.support import job_command, manifest, start_of, worker
 from agateferry_jobs.support.making import NEED
@@ -15,14 +14,16 @@
 
     def do(self, command):
         self.index += 1
-        return self.ledger.apply(self.index, c.encode(command))
+        return self.ledger.apply(self.index, commands.encode(command))
 
     def end(self, job, subtask, outcome, number=1, checkpoint=""):
         run = Run(number, "w1", 1)
-        return self.do(c.EndRuns((c.RunEnded(job, subtask, run, outcome, checkpoint),), 0))
+        return self.do(
+            commands.EndRuns((commands.RunEnded(job, subtask, run, outcome, checkpoint),), 0)
+        )
 
     def start(self, *starts):
-        return self.do(c.StartRuns(starts))
+        return self.do(commands.StartRuns(starts))
 
 
 class JobTests(LedgerCase):
@@ -34,42 +35,42 @@
     def test_completes_when_all_subtasks_are_done(self):
         self.do(job_command("j", StepSpec(2, NEED)))
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
-        self.end("j", "0.0.0", c.RunOutcome.DONE)
+        self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
-        self.end("j", "0.0.1", c.RunOutcome.DONE)
+        self.end("j", "0.0.1", commands.RunOutcome.DONE)
         self.assertEqual(JobState.COMPLETED, self.ledger.jobs["j"].state)
 
     def test_only_failed_ends_count_as_attempts(self):
         self.do(job_command("j", attempts=2))
         kinds = (
-            c.RunOutcome.LAPSED,
-            c.RunOutcome.FAILED,
-            c.RunOutcome.STOPPED,
-            c.RunOutcome.BROKEN,
-            c.RunOutcome.LOST,
+            commands.RunOutcome.LAPSED,
+            commands.RunOutcome.FAILED,
+            commands.RunOutcome.STOPPED,
+            commands.RunOutcome.BROKEN,
+            commands.RunOutcome.LOST,
         )
         for number, outcome in enumerate(kinds, 1):
             self.start(start_of("j", "0.0.0", number))
             self.end("j", "0.0.0", outcome, number)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
         self.start(start_of("j", "0.0.0", 6))
-        self.end("j", "0.0.0", c.RunOutcome.FAILED, 6)
+        self.end("j", "0.0.0", commands.RunOutcome.FAILED, 6)
         self.assertEqual(JobState.FAILED, self.ledger.jobs["j"].state)
 
     def test_a_cancelled_job_starts_nothing_and_stays_cancelled(self):
         self.do(job_command("j", StepSpec(2, NEED)))
         self.start(start_of("j", "0.0.0"))
-        self.do(c.CancelJob("j", 5))
+        self.do(commands.CancelJob("j", 5))
         self.assertEqual((), self.start(start_of("j", "0.0.1")))
-        self.end("j", "0.0.0", c.RunOutcome.DONE)
+        self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual(JobState.CANCELLED, self.ledger.jobs["j"].state)
 
     def test_subtasks_that_last_are_never_done(self):
         self.do(job_command("j", StepSpec(1, NEED, is_long_running=True), attempts=1))
         self.start(start_of("j", "0.0.0"))
-        self.end("j", "0.0.0", c.RunOutcome.FAILED)
+        self.end("j", "0.0.0", commands.RunOutcome.FAILED)
         self.start(start_of("j", "0.0.0", 2))
-        self.end("j", "0.0.0", c.RunOutcome.DONE, 2)
+        self.end("j", "0.0.0", commands.RunOutcome.DONE, 2)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
 
 
@@ -78,35 +79,35 @@
         self.do(job_command("j", StepSpec(2, NEED)))
         self.assertEqual(1, len(self.start(start_of("j", "0.0.0"))))
         self.assertEqual((), self.start(start_of("j", "0.0.0", 2, "w2")))
-        self.end("j", "0.0.0", c.RunOutcome.DONE)
+        self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual((), self.start(start_of("j", "0.0.0", 2)))
 
     def test_run_numbers_only_rise(self):
         self.do(job_command("j"))
         self.start(start_of("j", "0.0.0", 3))
-        self.end("j", "0.0.0", c.RunOutcome.STOPPED, 3)
+        self.end("j", "0.0.0", commands.RunOutcome.STOPPED, 3)
         self.assertEqual((), self.start(start_of("j", "0.0.0", 3)))
 
     def test_a_done_that_was_listed_late_counts(self):
         self.do(job_command("j"))
         self.start(start_of("j", "0.0.0"))
-        self.end("j", "0.0.0", c.RunOutcome.LOST)
-        self.end("j", "0.0.0", c.RunOutcome.DONE)
+        self.end("j", "0.0.0", commands.RunOutcome.LOST)
+        self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual(JobState.COMPLETED, self.ledger.jobs["j"].state)
 
     def test_a_failure_that_was_concluded_otherwise_does_not_count_twice(self):
         self.do(job_command("j", attempts=1))
         self.start(start_of("j", "0.0.0"))
-        self.end("j", "0.0.0", c.RunOutcome.LOST)
-        self.end("j", "0.0.0", c.RunOutcome.FAILED)
+        self.end("j", "0.0.0", commands.RunOutcome.LOST)
+        self.end("j", "0.0.0", commands.RunOutcome.FAILED)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
 
     def test_the_newest_checkpoint_is_kept(self):
         self.do(job_command("j"))
         self.start(start_of("j", "0.0.0"))
-        self.end("j", "0.0.0", c.RunOutcome.STOPPED, 1, "first")
+        self.end("j", "0.0.0", commands.RunOutcome.STOPPED, 1, "first")
         self.start(start_of("j", "0.0.0", 2))
-        self.end("j", "0.0.0", c.RunOutcome.LOST, 2)
+        self.end("j", "0.0.0", commands.RunOutcome.LOST, 2)
         self.assertEqual("first", self.ledger.jobs["j"].subtasks["0.0.0"].checkpoint)
 
 
@@ -117,41 +118,41 @@
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
 
     def test_one_member_done_stands_for_all(self):
-        self.end("j", "0.0.0", c.RunOutcome.DONE)
+        self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual(JobState.COMPLETED, self.ledger.jobs["j"].state)
 
     def test_two_failures_in_one_run_count_once(self):
-        self.end("j", "0.0.0", c.RunOutcome.FAILED)
-        self.end("j", "0.0.1", c.RunOutcome.FAILED)
+        self.end("j", "0.0.0", commands.RunOutcome.FAILED)
+        self.end("j", "0.0.1", commands.RunOutcome.FAILED)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
 
 
 class WorkerTests(LedgerCase):
     def test_words_of_a_life_that_left_are_dropped(self):
-        self.do(c.NoteWorker(worker("w1")))
-        self.do(c.NoteWorker(worker("w1", state=WorkerState.GONE)))
-        self.assertFalse(self.do(c.NoteWorker(worker("w1"))))
+        self.do(commands.NoteWorker(worker("w1")))
+        self.do(commands.NoteWorker(worker("w1", state=WorkerState.GONE)))
+        self.assertFalse(self.do(commands.NoteWorker(worker("w1"))))
         self.assertNotIn("w1", self.ledger.workers)
-        self.assertTrue(self.do(c.NoteWorker(worker("w1", born=2))))
+        self.assertTrue(self.do(commands.NoteWorker(worker("w1", born=2))))
 
     def test_a_draining_worker_is_not_ready_again_in_the_same_life(self):
-        self.do(c.NoteWorker(worker("w1", state=WorkerState.DRAINING)))
-        self.do(c.NoteWorker(worker("w1")))
+        self.do(commands.NoteWorker(worker("w1", state=WorkerState.DRAINING)))
+        self.do(commands.NoteWorker(worker("w1")))
         self.assertEqual(WorkerState.DRAINING, self.ledger.workers["w1"].state)
 
 
 class ManifestTests(LedgerCase):
     def test_the_highest_version_wins_and_an_equal_one_changes_nothing(self):
-        self.assertTrue(self.do(c.PutManifest(manifest(2, source="first"))))
-        self.assertFalse(self.do(c.PutManifest(manifest(2, source="other"))))
-        self.assertFalse(self.do(c.PutManifest(manifest(1))))
+        self.assertTrue(self.do(commands.PutManifest(manifest(2, source="first"))))
+        self.assertFalse(self.do(commands.PutManifest(manifest(2, source="other"))))
+        self.assertFalse(self.do(commands.PutManifest(manifest(1))))
         self.assertEqual(b"first", self.ledger.manifest.source)
 
 
 class SnapshotTests(LedgerCase):
     def test_a_snapshot_holds_everything(self):
-        self.do(c.PutManifest(manifest()))
-        self.do(c.NoteWorker(worker("w1")))
+        self.do(commands.PutManifest(manifest()))
+        self.do(commands.NoteWorker(worker("w1")))
         self.do(job_command("j", StepSpec(2, NEED, is_gang=True)))
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
         copy = Ledger()
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
@@ -1,8 +1,7 @@
 import msgspec
 import testtools
 
-from agateferry_jobs.ledger import Ledger, WorkerState
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import Ledger, WorkerState, commands
 from agateferry_jobs.ledger.specs import Resources, StepSpec
 from agateferry_jobs.planning import Fleet, Planner, WorkerHealth
 from agateferry_jobs.planning.choice import RESERVED_PATIENCE_MS
@@ -22,14 +21,14 @@
         self.ledger = Ledger()
         self.health = {}
         self.stopping = set()
-        self.do(c.PutManifest(manifest()))
+        self.do(commands.PutManifest(manifest()))
 
     def do(self, command):
-        return self.ledger.apply(1, c.encode(command))
+        return self.ledger.apply(1, commands.encode(command))
 
     def add(self, *incarnations, **health):
         for incarnation in incarnations:
-            self.do(c.NoteWorker(incarnation))
+            self.do(commands.NoteWorker(incarnation))
             self.health[incarnation.id] = WorkerHealth(**health)
 
     def plan(self, now_ms=0):
@@ -39,7 +38,7 @@
     def placed(self, now_ms=0):
         """Return where each subtask goes, and store the starts."""
         starts = self.plan(now_ms).starts
-        self.do(c.StartRuns(tuple(starts)))
+        self.do(commands.StartRuns(tuple(starts)))
         return {(s.job, s.subtask): s.run.worker for s in starts}
 
 
@@ -54,7 +53,7 @@
         self.add(worker("w1"))
         self.do(job_command("j", StepSpec(1, WHOLE)))
         self.placed()
-        self.do(c.CancelJob("j", 0))
+        self.do(commands.CancelJob("j", 0))
         self.do(job_command("k", StepSpec(1, WHOLE)))
         self.assertEqual({}, self.placed())
 
@@ -87,8 +86,8 @@
         self.add(worker("w1"))
         self.do(job_command("j", StepSpec(1, NEED), StepSpec(1, NEED, depends_on=(0,))))
         self.assertEqual({("j", "0.0.0"): "w1"}, self.placed())
-        end = c.RunEnded("j", "0.0.0", start_of("j", "0.0.0").run, c.RunOutcome.DONE)
-        self.do(c.EndRuns((end,), 0))
+        end = commands.RunEnded("j", "0.0.0", start_of("j", "0.0.0").run, commands.RunOutcome.DONE)
+        self.do(commands.EndRuns((end,), 0))
         self.assertEqual({("j", "0.1.0"): "w1"}, self.placed())
 
     def test_an_occurrence_waits_for_its_time(self):
@@ -125,9 +124,11 @@
     def test_members_share_the_run_number(self):
         self.add(worker("w1"), worker("w2"))
         self.do(job_command("j", StepSpec(2, WHOLE, is_gang=True)))
-        self.do(c.StartRuns((start_of("j", "0.0.0", 4),)))
-        end = c.RunEnded("j", "0.0.0", start_of("j", "0.0.0", 4).run, c.RunOutcome.STOPPED, "saved")
-        self.do(c.EndRuns((end,), 0))
+        self.do(commands.StartRuns((start_of("j", "0.0.0", 4),)))
+        end = commands.RunEnded(
+            "j", "0.0.0", start_of("j", "0.0.0", 4).run, commands.RunOutcome.STOPPED, "saved"
+        )
+        self.do(commands.EndRuns((end,), 0))
         starts = self.plan().starts
         self.assertEqual([(5, "saved")] * 2, [(s.run.number, s.checkpoint) for s in starts])
 
@@ -232,7 +233,7 @@
         self.add(worker("w1"), worker("w2"))
         for id, at_ms in (("old", PATIENT_MS), ("new", 3000)):
             self.do(job_command(id, StepSpec(1, Resources(gpu=7), estimated_ms=4500), priority=2))
-            self.do(c.StartRuns(tuple(self.plan(at_ms + 2001).starts), at_ms))
+            self.do(commands.StartRuns(tuple(self.plan(at_ms + 2001).starts), at_ms))
         step = StepSpec(1, WHOLE, is_gang=True, estimated_ms=4500)
         self.do(job_command("gang", step, priority=1, at_ms=3000))
         small = StepSpec(2, NEED, estimated_ms=60_000)
@@ -337,7 +338,7 @@
         self.add(worker("w1"))
         for id, at_ms in (("old", PATIENT_MS), ("new", 9000)):
             self.do(job_command(id, StepSpec(1, Resources(gpu=4)), priority=2))
-            self.do(c.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
+            self.do(commands.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
         self.do(job_command("urgent", StepSpec(1, Resources(gpu=4)), priority=0))
         self.assertEqual([("new", "0.0.0")], [stop.key for stop in self.plan(9500).stops])
 
@@ -346,6 +347,6 @@
         for id, saves, at_ms in (("saves", True, PATIENT_MS), ("new", False, 5000)):
             step = StepSpec(1, Resources(gpu=4), saves_checkpoints=saves)
             self.do(job_command(id, step, priority=2))
-            self.do(c.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
+            self.do(commands.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
         self.do(job_command("urgent", StepSpec(1, Resources(gpu=4)), priority=0))
         self.assertEqual([("saves", "0.0.0")], [stop.key for stop in self.plan(9000).stops])
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
@@ -1,7 +1,6 @@
 import testtools
 
-from agateferry_jobs.ledger import Ledger
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import Ledger, commands
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.planning.timing import Lateness, Timing, open_occurrence
 from agateferry_jobs.support import job_command, manifest, start_of
@@ -15,10 +14,10 @@
         super().setUp()
         self.ledger = Ledger()
         self.timing = Timing(self.ledger)
-        self.do(c.PutManifest(manifest(stretch=3.0, target_ms=1000)))
+        self.do(commands.PutManifest(manifest(stretch=3.0, target_ms=1000)))
 
     def do(self, command):
-        self.ledger.apply(1, c.encode(command))
+        self.ledger.apply(1, commands.encode(command))
 
     def job_of(self, *steps, id="j", **when):
         self.do(job_command(id, *steps, **when))
@@ -27,8 +26,12 @@
     def finish(self, id, took_ms):
         """Run the first subtask of a job to its end."""
         start = start_of(id, "0.0.0")
-        self.do(c.StartRuns((start,), 0))
-        self.do(c.EndRuns((c.RunEnded(id, "0.0.0", start.run, c.RunOutcome.DONE),), took_ms))
+        self.do(commands.StartRuns((start,), 0))
+        self.do(
+            commands.EndRuns(
+                (commands.RunEnded(id, "0.0.0", start.run, commands.RunOutcome.DONE),), took_ms
+            )
+        )
 
 
 class SlackTests(TimingCase):
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/world.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/world.py
@@ -6,8 +6,7 @@
 
 from agateferry_core.clock import MS_PER_S
 from agateferry_jobs.cell.leader import HUNG_MS, TICK_MS
-from agateferry_jobs.ledger import Ledger, WorkerIncarnation
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import Ledger, WorkerIncarnation, commands
 from agateferry_jobs.ledger.state import Run, gang_of
 from agateferry_jobs.manifest import Manifest, Queue, Service, Team
 from agateferry_jobs.planning import Fleet, Plan, WorkerHealth
@@ -122,11 +121,11 @@
         held = self._ledger.jobs[job.id]
         return held.ended_ms if held.is_completed else None
 
-    def _do(self, command: c.Command) -> None:
-        self._ledger.apply(1, c.encode(command))
+    def _do(self, command: commands.Command) -> None:
+        self._ledger.apply(1, commands.encode(command))
 
     def _open(self) -> None:
-        self._do(c.PutManifest(_manifest(self._load)))
+        self._do(commands.PutManifest(_manifest(self._load)))
         for number in range(self._load.workers):
             id = f"w{number:03d}"
             rack = f"r{number // self._load.workers_per_rack}"
@@ -135,7 +134,7 @@
             incarnation = WorkerIncarnation(
                 id, 1, "pool", id, "zone", WORKER_ROOM, labels, WORKER_ROOM.gpu
             )
-            self._do(c.NoteWorker(incarnation))
+            self._do(commands.NoteWorker(incarnation))
 
     def _accept(self) -> bool:
         due = [job for job in self._coming if job.at_ms <= self._now_ms]
@@ -143,7 +142,7 @@
         for job in due:
             kind = job.kind
             self._do(
-                c.AcceptJob(
+                commands.AcceptJob(
                     job.id,
                     kind.name,
                     "pool",
@@ -199,7 +198,7 @@
         group.still_ms = 0.0 if speed else group.still_ms + STEP_MS
         if group.stops_at_ms is not None:
             if not is_hidden and self._now_ms >= group.stops_at_ms:
-                self._end(group, c.RunOutcome.STOPPED)
+                self._end(group, commands.RunOutcome.STOPPED)
                 return True
             return False
         if group.still_ms > HUNG_MS and not is_hidden:
@@ -213,24 +212,24 @@
             return False
         if group.fails_at_ms is not None and group.done_ms >= group.fails_at_ms:
             self._failed[group.job.id] = self._failed.get(group.job.id, 0) + 1
-            self._end(group, c.RunOutcome.FAILED)
+            self._end(group, commands.RunOutcome.FAILED)
             return True
         if group.done_ms >= group.work_ms:
-            self._end(group, c.RunOutcome.DONE)
+            self._end(group, commands.RunOutcome.DONE)
             return True
         return False
 
-    def _end(self, group: Group, outcome: c.RunOutcome) -> None:
+    def _end(self, group: Group, outcome: commands.RunOutcome) -> None:
         checkpoint = str(round(group.saved_ms)) if group.saved_ms else ""
         ends = tuple(
-            c.RunEnded(group.job.id, name, run, outcome, checkpoint)
+            commands.RunEnded(group.job.id, name, run, outcome, checkpoint)
             for name, run in group.members.items()
         )
-        if outcome is not c.RunOutcome.DONE:
+        if outcome is not commands.RunOutcome.DONE:
             lost_ms = group.ran_ms if not checkpoint else 0.0
             gpus = group.job.spec.steps[0].need.gpu * len(group.members)
             self._wasted_gpu_s += lost_ms * gpus / MS_PER_S
-        self._do(c.EndRuns(ends, self._now_ms))
+        self._do(commands.EndRuns(ends, self._now_ms))
 
     def _stop(self, group: Group) -> None:
         if group.stops_at_ms is None:
@@ -256,8 +255,8 @@
     def _start(self, plan: Plan) -> None:
         if not plan.starts:
             return
-        self._do(c.StartRuns(tuple(plan.starts), self._now_ms))
-        together: dict[tuple[str, str], list[c.RunStart]] = {}
+        self._do(commands.StartRuns(tuple(plan.starts), self._now_ms))
+        together: dict[tuple[str, str], list[commands.RunStart]] = {}
         for start in plan.starts:
             is_gang = self._jobs[start.job].kind.is_gang
             part = gang_of(start.subtask) if is_gang else start.subtask
@@ -265,7 +264,7 @@
         for starts in together.values():
             self._groups.append(self._group(starts))
 
-    def _group(self, starts: Sequence[c.RunStart]) -> Group:
+    def _group(self, starts: Sequence[commands.RunStart]) -> Group:
         job = self._jobs[starts[0].job]
         step = job.spec.steps[0]
         racks = {self._racks[start.run.worker] for start in starts}
--- a/packages/agateferry-jobs/agateferry_jobs/support/making.py
+++ b/packages/agateferry-jobs/agateferry_jobs/support/making.py
@@ -1,7 +1,6 @@
 """Short makers of the values that tests need."""
 
-from agateferry_jobs.ledger import Run, WorkerIncarnation, WorkerState
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import Run, WorkerIncarnation, WorkerState, commands
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.manifest import Manifest, Queue, Service, Team
 
@@ -20,15 +19,17 @@
 
 def job_command(
     id: str, *steps: StepSpec, priority: int = 1, attempts: int = 2, at_ms: int = 0, **when: int
-) -> c.AcceptJob:
+) -> commands.AcceptJob:
     """Return the command that stores a job; without steps it has one of one subtask."""
     spec = JobSpec("payload", steps or (StepSpec(1, NEED),), **when)
-    return c.AcceptJob(id, "queue", "pool", "team", priority, attempts, at_ms, spec)
+    return commands.AcceptJob(id, "queue", "pool", "team", priority, attempts, at_ms, spec)
 
 
-def start_of(job: str, subtask: str, number: int = 1, on: str = "w1", born: int = 1) -> c.RunStart:
+def start_of(
+    job: str, subtask: str, number: int = 1, on: str = "w1", born: int = 1
+) -> commands.RunStart:
     """Return the intent to start a subtask."""
-    return c.RunStart(job, subtask, Run(number, on, born))
+    return commands.RunStart(job, subtask, Run(number, on, born))
 
 
 def manifest(
--- a/packages/agateferry-state/agateferry_state/replica/driver.py
+++ b/packages/agateferry-state/agateferry_state/replica/driver.py
@@ -26,8 +26,7 @@
 from agateferry_state.replica.protocols import ProposeError, ProposeErrorKind, StateMachine
 from agateferry_state.replica.storage import Storage, Written
 from agateferry_state.replica.transport import Transport
-from agateferry_state.replication import Core, Role
-from agateferry_state.replication import messages as m
+from agateferry_state.replication import Core, Role, messages
 from agateferry_state.replication.messages import Greeting
 
 MIN_DELAY_MS = 1
@@ -65,7 +64,7 @@
         self._listeners = listeners
         self._loop = asyncio.get_running_loop()
         self._log = EventLogger(group=group, host=core.me.id.host)
-        self._inbox: list[m.Event] = []
+        self._inbox: list[messages.Event] = []
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due_ms = 0
         self._write_id = 0
@@ -75,14 +74,14 @@
         self._is_closed = False
         self._stepped = asyncio.Event()
         transport.register(group, self._receive)
-        self.put(m.Tick())
+        self.put(messages.Tick())
 
     @property
     def leader(self) -> str | None:
         """Return the host that leads, as far as this one knows."""
         return _host(self.core.leader)
 
-    def put(self, event: m.Event) -> None:
+    def put(self, event: messages.Event) -> None:
         """Have an event taken in this turn of the loop, together with others."""
         if not self._inbox:
             self._loop.call_soon(self._step)
@@ -111,7 +110,7 @@
         message = envelope.message
         if isinstance(message, Greeting) and message.member.address:
             self._transport.set_address(message.member.id.host, message.member.address)
-        self.put(m.MessageReceived(envelope.sender, envelope.recipient, envelope.message))
+        self.put(messages.MessageReceived(envelope.sender, envelope.recipient, envelope.message))
 
     def _step(self) -> None:
         events, self._inbox = self._inbox, []
@@ -126,7 +125,7 @@
         self._arm_timer()
         self._stepped.set()
 
-    def _take(self, events: list[m.Event]) -> None:
+    def _take(self, events: list[messages.Event]) -> None:
         for effect in self.core.step_all(events, self._clock.now_ms()):
             if not self._carry_out(effect):
                 break
@@ -141,44 +140,44 @@
         self.proposals.end(ProposeErrorKind.UNKNOWN, detail)
         self._stepped.set()
 
-    def _carry_out(self, effect: m.Effect) -> bool:
+    def _carry_out(self, effect: messages.Effect) -> bool:
         """Do what the core asks; False tells that the disk failed and the rest must not be done."""
         match effect:
-            case m.Send(to, message):
+            case messages.Send(to, message):
                 self._transport.send(Envelope(self._group, self.core.me.id, to, message))
-            case m.AppendLog(write_id, entries):
+            case messages.AppendLog(write_id, entries):
                 self._write_id = write_id
                 self._storage.append(entries)
-            case m.TruncateLog(write_id, from_index):
+            case messages.TruncateLog(write_id, from_index):
                 self._write_id = write_id
                 self._storage.truncate(from_index)
-            case m.Apply(entries):
+            case messages.Apply(entries):
                 for entry in entries:
                     self._apply(entry)
-            case m.PersistVote(term, voted_for):
+            case messages.PersistVote(term, voted_for):
                 return self._check(self._storage.save_vote(term, voted_for))
-            case m.InstallSnapshot(snapshot):
+            case messages.InstallSnapshot(snapshot):
                 return self._install(snapshot)
-            case m.TakeSnapshot():
+            case messages.TakeSnapshot():
                 return self._take_snapshot(effect)
             case _:
                 self._tell(effect)
         return True
 
-    def _tell(self, effect: m.Effect) -> None:
+    def _tell(self, effect: messages.Effect) -> None:
         """Hand an answer of the core to those who wait for it."""
         match effect:
-            case m.ProposalAccepted(proposal_id, index, term):
+            case messages.ProposalAccepted(proposal_id, index, term):
                 self.proposals.accept(proposal_id, index, term)
-            case m.ProposalRejected(proposal_id, reason, leader):
+            case messages.ProposalRejected(proposal_id, reason, leader):
                 self.proposals.reject(proposal_id, reason, _host(leader))
-            case m.ReadReady():
+            case messages.ReadReady():
                 self.proposals.answer_read(effect)
-            case m.ReadRejected(read_id, reason, leader):
+            case messages.ReadRejected(read_id, reason, leader):
                 self.proposals.reject_read(read_id, reason, _host(leader))
-            case m.LeadershipChanged(leader, term):
+            case messages.LeadershipChanged(leader, term):
                 self._on_leader(leader, term)
-            case m.MembersChanged(members):
+            case messages.MembersChanged(members):
                 self._log.info(MEMBERS_CHANGED, members=[str(each.id) for each in members.all])
                 for member in members.all:
                     if member.address:
@@ -210,32 +209,32 @@
         now_ms = self._clock.now_ms()
         self._rests_until_ms = now_ms + min(LONGEST_REST_MS, SYNC_REST * (now_ms - began_ms))
         if self._check(written):
-            self.put(m.Synced(self._write_id))
+            self.put(messages.Synced(self._write_id))
 
-    def _apply(self, entry: m.LogEntry) -> None:
+    def _apply(self, entry: messages.LogEntry) -> None:
         outcome = None
-        if entry.kind is m.EntryKind.COMMAND:
+        if entry.kind is messages.EntryKind.COMMAND:
             outcome = self._machine.apply(entry.index, entry.data)
         self.applied_index = entry.index
         if self.core.role is Role.LEADER and entry.term == self.core.term:
             self._note_leading(entry.term)
         self.proposals.apply(entry, outcome, self.leader)
 
-    def _install(self, snapshot: m.Snapshot) -> bool:
+    def _install(self, snapshot: messages.Snapshot) -> bool:
         if not self._check(self._storage.install_snapshot(snapshot)):
             return False
         self._machine.restore(snapshot.data)
         self.applied_index = snapshot.meta.index
         return True
 
-    def _take_snapshot(self, effect: m.TakeSnapshot) -> bool:
+    def _take_snapshot(self, effect: messages.TakeSnapshot) -> bool:
         data = self._machine.snapshot()
-        meta = m.SnapshotMeta(
+        meta = messages.SnapshotMeta(
             effect.index, effect.term, effect.members, len(data), zlib.crc32(data)
         )
-        if not self._check(self._storage.save_snapshot(m.Snapshot(meta, data))):
+        if not self._check(self._storage.save_snapshot(messages.Snapshot(meta, data))):
             return False
-        self.put(m.SnapshotTaken(effect.index, data))
+        self.put(messages.SnapshotTaken(effect.index, data))
         return True
 
     def _on_leader(self, leader: MemberId | None, term: int) -> None:
@@ -272,7 +271,7 @@
         STORAGE_FAILURES.labels(error.kind.value).inc()
         self._log.error(STORAGE_FAILED, kind=error.kind, detail=error.detail)
         self.failure = ProposeError(ProposeErrorKind.STORAGE_FAILED, detail=error.detail)
-        for effect in self.core.step(m.SyncFailed(), self._clock.now_ms()):
+        for effect in self.core.step(messages.SyncFailed(), self._clock.now_ms()):
             self._tell(effect)
         self.proposals.end(ProposeErrorKind.STORAGE_FAILED, error.detail)
 
@@ -289,7 +288,7 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        self.put(m.Tick())
+        self.put(messages.Tick())
 
 
 def _host(member: MemberId | None) -> str | None:
--- a/packages/agateferry-state/agateferry_state/replica/node.py
+++ b/packages/agateferry-state/agateferry_state/replica/node.py
@@ -19,8 +19,7 @@
 from agateferry_state.replica.status import NodeStatus, describe
 from agateferry_state.replica.storage import Opened, open_storage
 from agateferry_state.replica.transport import Transport
-from agateferry_state.replication import Core, Role, Settings
-from agateferry_state.replication import messages as m
+from agateferry_state.replication import Core, Role, Settings, messages
 
 STOP_WITHIN_MS = 3000
 
@@ -145,7 +144,7 @@
             return
         has_others = len(driver.core.members.voters) > 1
         if driver.failure is None and driver.core.role is Role.LEADER and has_others:
-            driver.put(m.TransferLeadership())
+            driver.put(messages.TransferLeadership())
             await driver.until(lambda: driver.core.role is not Role.LEADER, STOP_WITHIN_MS)
         await driver.until(lambda: driver.proposals.is_idle, STOP_WITHIN_MS)
         self._failure = driver.failure or ProposeError(ProposeErrorKind.STOPPED)
@@ -154,19 +153,19 @@
 
     async def propose(self, command: bytes) -> Answer:
         """Have a command agreed upon, stored and applied, and return the machine's outcome."""
-        return await self._ask(lambda proposal_id: m.Proposed(proposal_id, command))
+        return await self._ask(lambda proposal_id: messages.Proposed(proposal_id, command))
 
-    async def change_member(self, action: m.MemberAction, member: Member) -> Answer:
+    async def change_member(self, action: messages.MemberAction, member: Member) -> Answer:
         """Admit or remove a member by an operator's word."""
         return await self._ask(
-            lambda proposal_id: m.MemberChangeRequested(proposal_id, action, member)
+            lambda proposal_id: messages.MemberChangeRequested(proposal_id, action, member)
         )
 
     async def read_barrier(self) -> Result[int, ProposeError]:
         """Return once the local state holds all that was agreed before the call."""
         while self._driver is not None and self._driver.failure is None:
             read_id, fut = self._driver.proposals.ask_read()
-            self._driver.put(m.ReadRequested(read_id))
+            self._driver.put(messages.ReadRequested(read_id))
             match await fut:
                 case Result(tag="ok", ok=ready):
                     if not ready.valid_until_ms or self._clock.now_ms() < ready.valid_until_ms:
@@ -178,16 +177,16 @@
     def force_bootstrap(self) -> None:
         """Start a new group on this empty host, by an operator's word."""
         if self._driver is not None:
-            self._driver.put(m.BootstrapForced())
+            self._driver.put(messages.BootstrapForced())
 
     async def force_recovery(self, lost: frozenset[MemberId]) -> Answer:
         """Take this host's log as the truth after a quorum was lost, by an operator's word.
 
         Every other voter must be named in `lost`, else the core refuses it as unsafe.
         """
-        return await self._ask(lambda proposal_id: m.RecoveryForced(lost, proposal_id))
+        return await self._ask(lambda proposal_id: messages.RecoveryForced(lost, proposal_id))
 
-    def preview_change(self, action: m.MemberAction, host: str) -> Preview:
+    def preview_change(self, action: messages.MemberAction, host: str) -> Preview:
         """Return the members that `change_member` would make now, and change nothing."""
         return self._preview(lambda core: core.preview_change(action, host))
 
@@ -208,7 +207,7 @@
             disk=self._disk_state(driver),
         )
 
-    async def _ask(self, event: Callable[[int], m.Event]) -> Answer:
+    async def _ask(self, event: Callable[[int], messages.Event]) -> Answer:
         driver = self._driver
         if driver is None or driver.failure is not None:
             return Error(self._refusal())
@@ -216,7 +215,7 @@
         driver.put(event(proposal_id))
         return await fut
 
-    def _preview(self, plan: Callable[[Core], Result[Members, m.RejectReason]]) -> Preview:
+    def _preview(self, plan: Callable[[Core], Result[Members, messages.RejectReason]]) -> Preview:
         driver = self._driver
         if driver is None or driver.failure is not None:
             return Error(self._refusal())
--- a/packages/agateferry-state/agateferry_state/replication/tests/support.py
+++ b/packages/agateferry-state/agateferry_state/replication/tests/support.py
@@ -9,8 +9,7 @@
 from dataclasses import dataclass, field
 
 from agateferry_state.members import Member, MemberId, Members
-from agateferry_state.replication import Core, Settings, StoredState
-from agateferry_state.replication import messages as m
+from agateferry_state.replication import Core, Settings, StoredState, messages
 
 SEEDS = int(os.environ.get("AGATEFERRY_SEEDS", "500"))
 
@@ -26,13 +25,13 @@
     incarnation: str = ""
     term: int = 0
     vote: MemberId | None = None
-    snapshot: m.Snapshot | None = None
-    entries: list[m.LogEntry] = field(default_factory=list)
+    snapshot: messages.Snapshot | None = None
+    entries: list[messages.LogEntry] = field(default_factory=list)
     pending: list = field(default_factory=list)
     unsynced_vote: tuple | None = None
 
     def write(self, effect):
-        if isinstance(effect, m.TruncateLog):
+        if isinstance(effect, messages.TruncateLog):
             self.entries = [e for e in self.entries if e.index < effect.from_index]
         else:
             self.entries.extend(effect.entries)
@@ -100,16 +99,16 @@
         self.completed(now, index)
 
     def sent(self, sender, to, message):
-        if isinstance(message, m.VoteRequest) and message.pre_vote:
+        if isinstance(message, messages.VoteRequest) and message.pre_vote:
             return
         if self.checks_terms and message.term < self.terms.get(sender, 0):
             raise ViolationError(f"the term of {sender} went down to {message.term}")
         self.terms[sender] = message.term
         match message:
-            case m.VoteResponse(_, term, True, False):
+            case messages.VoteResponse(_, term, True, False):
                 if self.votes.setdefault((sender, term), to) != to:
                     raise ViolationError(f"{sender} voted twice in term {term}")
-            case m.AppendRequest(term):
+            case messages.AppendRequest(term):
                 if self.leaders.setdefault(term, sender) != sender:
                     raise ViolationError(f"two leaders in term {term}")
 
@@ -148,7 +147,7 @@
         voters = tuple(
             Member(MemberId(h.name, h.disk.incarnation), h.has_disk) for h in self.hosts.values()
         )
-        entry = m.LogEntry(1, 1, m.EntryKind.MEMBERS, Members(voters).encode())
+        entry = messages.LogEntry(1, 1, messages.EntryKind.MEMBERS, Members(voters).encode())
         for host in self.hosts.values():
             host.disk.term, host.disk.entries = 1, [entry]
 
@@ -178,7 +177,7 @@
         host.core = Core(me, self.settings, host.disk.stored(), rng, now)
         snapshot = host.disk.snapshot
         host.machine = json.loads(snapshot.data) if snapshot else []
-        self.step(host, m.Tick())
+        self.step(host, messages.Tick())
 
     def kill(self, name):
         host = self.hosts[name]
@@ -201,7 +200,7 @@
         waiting, host.frozen = host.frozen, []
         for life, event in waiting:
             self.deliver(host, life, event)
-        self.deliver(host, host.life, m.Tick())
+        self.deliver(host, host.life, messages.Tick())
 
     def heal(self):
         self.cut.clear()
@@ -218,7 +217,7 @@
         self.step(host, event)
 
     def step(self, host, event):
-        if isinstance(event, m.Synced) and not self.skips_sync:
+        if isinstance(event, messages.Synced) and not self.skips_sync:
             host.disk.sync(event.write_id)
         core = host.core
         for effect in core.step(event, self.local_ms(host)):
@@ -234,7 +233,7 @@
         if life == host.life and self.now < armed <= due:
             return
         host.armed = (host.life, due)
-        self.at(delay, self.deliver, host, host.life, m.Tick())
+        self.at(delay, self.deliver, host, host.life, messages.Tick())
 
     def _check_leases(self, host):
         if not host.core.holds_lease(self.local_ms(host)):
@@ -249,28 +248,28 @@
 
     def carry_out(self, host, effect):
         match effect:
-            case m.Send():
+            case messages.Send():
                 self._send(host, effect)
-            case m.PersistVote(term, voted_for):
+            case messages.PersistVote(term, voted_for):
                 host.disk.unsynced_vote = (term, voted_for)
                 if not self.loses_votes:
                     host.disk.sync(0)
-            case m.AppendLog() | m.TruncateLog():
+            case messages.AppendLog() | messages.TruncateLog():
                 host.disk.pending.append(effect)
                 delay = self.rng.randint(1, 15) if host.has_disk else 0
-                self.at(delay, self.deliver, host, host.life, m.Synced(effect.write_id))
-            case m.InstallSnapshot(snapshot):
+                self.at(delay, self.deliver, host, host.life, messages.Synced(effect.write_id))
+            case messages.InstallSnapshot(snapshot):
                 host.disk.snapshot, host.disk.entries, host.disk.pending = snapshot, [], []
                 host.machine = json.loads(snapshot.data)
-            case m.TakeSnapshot():
+            case messages.TakeSnapshot():
                 data = json.dumps(host.machine).encode()
                 self.at(self.rng.randint(1, 40), self._snapshot_done, host, host.life, effect, data)
-            case m.Apply(entries):
+            case messages.Apply(entries):
                 for entry in entries:
                     self._apply(host, entry)
-            case m.ProposalAccepted(op, index, term):
+            case messages.ProposalAccepted(op, index, term):
                 host.accepted[index] = (op, term)
-            case m.ReadReady(op, index):
+            case messages.ReadReady(op, index):
                 if op in self.op_of:
                     began = self.op_of.pop(op)
                     self.history.read(began, self.now, index)
@@ -280,16 +279,16 @@
         if host.core is None or host.life != life or effect.index <= newest:
             return
         size, checksum = len(data), zlib.crc32(data)
-        meta = m.SnapshotMeta(effect.index, effect.term, effect.members, size, checksum)
-        host.disk.snapshot = m.Snapshot(meta, data)
-        self.deliver(host, life, m.SnapshotTaken(effect.index, data))
+        meta = messages.SnapshotMeta(effect.index, effect.term, effect.members, size, checksum)
+        host.disk.snapshot = messages.Snapshot(meta, data)
+        self.deliver(host, life, messages.SnapshotTaken(effect.index, data))
 
     def _send(self, host, effect):
         self.history.sent(host.core.me.id, effect.to, effect.message)
         if (host.name, effect.to.host) in self.cut or self.rng.random() < self.loss:
             return
-        event = m.MessageReceived(host.core.me.id, effect.to, effect.message)
-        if isinstance(effect.message, m.VoteResponse) and effect.message.granted:
+        event = messages.MessageReceived(host.core.me.id, effect.to, effect.message)
+        if isinstance(effect.message, messages.VoteResponse) and effect.message.granted:
             self._kill_voter(host.name)
         copies = 2 if self.rng.random() < 0.01 else 1
         for _ in range(copies):
@@ -311,7 +310,7 @@
         self.history.applied(entry)
         if host.machine and host.machine[-1][0] >= entry.index:
             raise ViolationError(f"{host.name} applied {entry.index} twice")
-        if entry.kind is m.EntryKind.COMMAND:
+        if entry.kind is messages.EntryKind.COMMAND:
             host.machine.append([entry.index, entry.data.decode()])
         op, term = host.accepted.pop(entry.index, (None, 0))
         if op is not None and term == entry.term and op in self.op_of:
@@ -323,13 +322,13 @@
         host = self.hosts[name]
         op = next(self.ids)
         self.op_of[op] = self.now
-        self.deliver(host, host.life, m.Proposed(op, str(op).encode()))
+        self.deliver(host, host.life, messages.Proposed(op, str(op).encode()))
 
     def read(self, name):
         host = self.hosts[name]
         op = next(self.ids)
         self.op_of[op] = self.now
-        self.deliver(host, host.life, m.ReadRequested(op))
+        self.deliver(host, host.life, messages.ReadRequested(op))
 
     def clients(self, until, every=150):
         """Send a proposal or a read to every host now and then."""
--- a/packages/agateferry-state/agateferry_state/replication/tests/test_core.py
+++ b/packages/agateferry-state/agateferry_state/replication/tests/test_core.py
@@ -3,8 +3,7 @@
 import testtools
 
 from agateferry_state.members import Member, MemberId
-from agateferry_state.replication import Core, Role, Settings, StoredState
-from agateferry_state.replication import messages as m
+from agateferry_state.replication import Core, Role, Settings, StoredState, messages
 from agateferry_state.replication.tests import faults
 from agateferry_state.replication.tests.support import SEEDS, Cluster, ViolationError
 
@@ -31,7 +30,7 @@
     def test_an_operator_can_start_a_cell(self):
         cluster = Cluster(1, formed=False)
         cluster.kill("b")
-        cluster.step(cluster.hosts["c"], m.BootstrapForced())
+        cluster.step(cluster.hosts["c"], messages.BootstrapForced())
         cluster.run_until(3000)
         self.assertEqual("c", cluster.leader())
 
@@ -60,7 +59,7 @@
         cluster.history.acked = {i: d for i, d in cluster.history.acked.items() if i in held}
         cluster.history.places = {i: e for i, e in cluster.history.places.items() if i in held}
         lost = cluster.hosts[left].core.members.voter_ids
-        cluster.step(cluster.hosts[left], m.RecoveryForced(lost))
+        cluster.step(cluster.hosts[left], messages.RecoveryForced(lost))
         for member_id in cluster.hosts[left].core.members.given_up:
             cluster.wipe(member_id.host)
             cluster.at(100, cluster.start, member_id.host)
@@ -70,8 +69,10 @@
         cluster = Cluster(1)
         cluster.run_until(2500)
         host = next(h for h in cluster.hosts.values() if h.name != cluster.leader())
-        effects = cluster_step(cluster, m.RecoveryForced(proposal_id=7), host.core)
-        self.assertIn(m.ProposalRejected(7, m.RejectReason.UNSAFE, host.core.leader), effects)
+        effects = cluster_step(cluster, messages.RecoveryForced(proposal_id=7), host.core)
+        self.assertIn(
+            messages.ProposalRejected(7, messages.RejectReason.UNSAFE, host.core.leader), effects
+        )
 
     def test_a_member_that_was_given_up_stays_out_until_it_is_empty(self):
         cluster = Cluster(1)
@@ -81,15 +82,17 @@
         cluster.kill("b")
         lost = frozenset({MemberId("a", "a1"), MemberId("b", "b1")})
         cluster.run_until(5000)
-        cluster_step(cluster, m.RecoveryForced(lost), cluster.hosts["c"].core)
+        cluster_step(cluster, messages.RecoveryForced(lost), cluster.hosts["c"].core)
         cluster.run_until(6000)
         cluster.start("a")
         cluster.run_until(20_000)
         self.assertEqual(1, len(cluster.hosts["c"].core.members.all))
-        admit = m.MemberChangeRequested(7, m.MemberAction.ADMIT, Member(MemberId("a")))
+        admit = messages.MemberChangeRequested(
+            7, messages.MemberAction.ADMIT, Member(MemberId("a"))
+        )
         effects = cluster_step(cluster, admit, cluster.hosts["c"].core)
-        rejected = [e.reason for e in effects if isinstance(e, m.ProposalRejected)]
-        self.assertEqual([m.RejectReason.UNSAFE], rejected)
+        rejected = [e.reason for e in effects if isinstance(e, messages.ProposalRejected)]
+        self.assertEqual([messages.RejectReason.UNSAFE], rejected)
         cluster.wipe("a")
         cluster.start("a")
         cluster.run_until(25_000)
@@ -124,7 +127,7 @@
             cluster.clients(3000)
             cluster.run_until(2500)
             leader = cluster.leader()
-            cluster.step(cluster.hosts[leader], m.TransferLeadership())
+            cluster.step(cluster.hosts[leader], messages.TransferLeadership())
             began = cluster.now
             while cluster.leader() in (None, leader) and cluster.now < began + 5000:
                 cluster.run_until(cluster.now + 5)
@@ -137,17 +140,17 @@
     def change(self, cluster, action, host):
         core = cluster.hosts[cluster.leader()].core
         member = Member(MemberId(host))
-        return cluster_step(cluster, m.MemberChangeRequested(1, action, member), core)
+        return cluster_step(cluster, messages.MemberChangeRequested(1, action, member), core)
 
     def test_a_removed_host_stays_out_until_it_is_admitted(self):
         cluster = Cluster(3)
         cluster.run_until(2500)
         name = next(n for n in cluster.hosts if n != cluster.leader())
-        self.change(cluster, m.MemberAction.REMOVE, name)
+        self.change(cluster, messages.MemberAction.REMOVE, name)
         cluster.run_until(12_000)
         core = cluster.hosts[cluster.leader()].core
         self.assertEqual(2, len(core.members.all))
-        self.change(cluster, m.MemberAction.ADMIT, name)
+        self.change(cluster, messages.MemberAction.ADMIT, name)
         cluster.run_until(15_000)
         self.assertTrue(cluster.is_whole())
 
@@ -155,7 +158,7 @@
         cluster = Cluster(4)
         cluster.run_until(2500)
         first = cluster.leader()
-        self.change(cluster, m.MemberAction.REMOVE, first)
+        self.change(cluster, messages.MemberAction.REMOVE, first)
         cluster.run_until(8000)
         self.assertNotIn(cluster.leader(), (None, first))
 
@@ -165,8 +168,8 @@
         others = [n for n in cluster.hosts if n != cluster.leader()]
         cluster.kill(others[0])
         cluster.run_until(4000)
-        effects = self.change(cluster, m.MemberAction.REMOVE, others[1])
-        self.assertIn(m.RejectReason.UNSAFE, [getattr(e, "reason", None) for e in effects])
+        effects = self.change(cluster, messages.MemberAction.REMOVE, others[1])
+        self.assertIn(messages.RejectReason.UNSAFE, [getattr(e, "reason", None) for e in effects])
 
 
 def cluster_step(cluster, event, core):
@@ -185,34 +188,38 @@
         self.core = Core(Member(self.me), Settings(), StoredState(), rng, 0)
 
     def receive(self, sender, message, now_ms=0):
-        effects = self.core.step(m.MessageReceived(sender, self.me, message), now_ms)
-        return [e.message for e in effects if isinstance(e, m.Send) and e.to == sender]
+        effects = self.core.step(messages.MessageReceived(sender, self.me, message), now_ms)
+        return [e.message for e in effects if isinstance(e, messages.Send) and e.to == sender]
 
     def greet(self, sender):
-        (request,) = self.receive(sender, m.Greeting(0, Member(sender), is_empty=True))
-        self.receive(sender, m.Greeting(0, Member(sender), True, request.nonce))
+        (request,) = self.receive(sender, messages.Greeting(0, Member(sender), is_empty=True))
+        self.receive(sender, messages.Greeting(0, Member(sender), True, request.nonce))
 
     def test_a_newer_incarnation_is_heard_once_it_proved_itself(self):
         newer = MemberId("a", "a3")
-        heartbeat = m.AppendRequest(5, 0, 0, 0, round=1)
+        heartbeat = messages.AppendRequest(5, 0, 0, 0, round=1)
         self.greet(MemberId("a", "a2"))
         (request,) = self.receive(newer, heartbeat)
-        self.receive(newer, m.Greeting(5, Member(newer), False, request.nonce))
-        self.assertEqual([m.AppendResponse(5, 1, success=True)], self.receive(newer, heartbeat))
+        self.receive(newer, messages.Greeting(5, Member(newer), False, request.nonce))
+        self.assertEqual(
+            [messages.AppendResponse(5, 1, success=True)], self.receive(newer, heartbeat)
+        )
 
     def test_a_late_greeting_does_not_supersede(self):
         older, newer = MemberId("a", "a2"), MemberId("a", "a3")
-        (request,) = self.receive(older, m.Greeting(0, Member(older), is_empty=True))
+        (request,) = self.receive(older, messages.Greeting(0, Member(older), is_empty=True))
         self.greet(newer)
-        self.receive(older, m.Greeting(0, Member(older), True, request.nonce))
-        heartbeat = m.AppendRequest(5, 0, 0, 0, round=1)
-        self.assertEqual([m.AppendResponse(5, 1, success=True)], self.receive(newer, heartbeat))
+        self.receive(older, messages.Greeting(0, Member(older), True, request.nonce))
+        heartbeat = messages.AppendRequest(5, 0, 0, 0, round=1)
+        self.assertEqual(
+            [messages.AppendResponse(5, 1, success=True)], self.receive(newer, heartbeat)
+        )
 
     def test_a_message_for_an_older_incarnation_is_dropped(self):
-        event = m.MessageReceived(
-            MemberId("a", "a1"), MemberId("b", "b0"), m.VoteRequest(9, 9, 9, transfer=True)
+        event = messages.MessageReceived(
+            MemberId("a", "a1"), MemberId("b", "b0"), messages.VoteRequest(9, 9, 9, transfer=True)
         )
-        self.assertEqual([], [e for e in self.core.step(event, 0) if isinstance(e, m.Send)])
+        self.assertEqual([], [e for e in self.core.step(event, 0) if isinstance(e, messages.Send)])
 
 
 class SlowDiskTests(testtools.TestCase):
@@ -221,14 +228,16 @@
         core = Core(Member(me), Settings(), StoredState(), random.Random(1), 0)
         found = []
         for index, round_number in ((1, 1), (2, 1), (3, 2)):
-            entries = (m.LogEntry(index, 5, m.EntryKind.NOOP),)
-            request = m.AppendRequest(5, index - 1, 5 * (index > 1), 0, round_number, entries)
-            found.append(self.answers(core.step(m.MessageReceived(leader, me, request), 0)))
+            entries = (messages.LogEntry(index, 5, messages.EntryKind.NOOP),)
+            request = messages.AppendRequest(
+                5, index - 1, 5 * (index > 1), 0, round_number, entries
+            )
+            found.append(self.answers(core.step(messages.MessageReceived(leader, me, request), 0)))
         self.assertEqual([[(1, 0)], [], [(2, 0)]], found)
-        self.assertEqual([(2, 3)], self.answers(core.step(m.Synced(3), 0)))
+        self.assertEqual([(2, 3)], self.answers(core.step(messages.Synced(3), 0)))
 
     def answers(self, effects):
-        sent = [e.message for e in effects if isinstance(e, m.Send)]
+        sent = [e.message for e in effects if isinstance(e, messages.Send)]
         return [(a.round, a.match_index) for a in sent]
 
 
@@ -254,16 +263,18 @@
     def test_a_failed_sync_ends_taking_part(self):
         member = Member(MemberId("a", "1"))
         core = Core(member, Settings(first_hosts=(member,)), StoredState(), random.Random(1), 0)
-        core.step(m.BootstrapForced(), 0)
-        core.step(m.SyncFailed(), 1)
-        effects = core.step_all((m.Proposed(1, b"x"), m.ReadRequested(2), m.Tick()), 5000)
+        core.step(messages.BootstrapForced(), 0)
+        core.step(messages.SyncFailed(), 1)
+        effects = core.step_all(
+            (messages.Proposed(1, b"x"), messages.ReadRequested(2), messages.Tick()), 5000
+        )
         reasons = [e.reason for e in effects if hasattr(e, "reason")]
-        self.assertEqual([m.RejectReason.STORAGE_FAILED] * 2, reasons)
+        self.assertEqual([messages.RejectReason.STORAGE_FAILED] * 2, reasons)
         self.assertEqual(Role.FAILED, core.role)
 
     def test_a_log_that_is_newer_than_the_stored_term_is_refused(self):
         member = Member(MemberId("a", "1"))
-        entries = (m.LogEntry(1, 4, m.EntryKind.NOOP),)
+        entries = (messages.LogEntry(1, 4, messages.EntryKind.NOOP),)
         with testtools.ExpectedException(ValueError):
             Core(member, Settings(), StoredState(term=3, entries=entries), random.Random(1), 0)
 
--- a/packages/agateferry-state/agateferry_state/replication/tests/test_faults.py
+++ b/packages/agateferry-state/agateferry_state/replication/tests/test_faults.py
@@ -1,7 +1,7 @@
 import testtools
 
 from agateferry_state.members import MemberId
-from agateferry_state.replication import messages as m
+from agateferry_state.replication import messages
 from agateferry_state.replication.lease import Lease
 from agateferry_state.replication.tests import faults
 from agateferry_state.replication.tests.support import SEEDS, Cluster, History, ViolationError
@@ -73,10 +73,12 @@
             cluster = Cluster(1)
             cluster.loses_votes = loses_votes
             cluster.history.checks_terms = False
-            request = m.VoteRequest(term=2, last_index=9, last_term=1, transfer=True)
+            request = messages.VoteRequest(term=2, last_index=9, last_term=1, transfer=True)
             found = []
             for name in ("a", "b"):
-                event = m.MessageReceived(MemberId(name, f"{name}1"), MemberId("c", "c1"), request)
+                event = messages.MessageReceived(
+                    MemberId(name, f"{name}1"), MemberId("c", "c1"), request
+                )
                 try:
                     cluster.step(cluster.hosts["c"], event)
                 except ViolationError as exc:
