--- a/packages/agateferry-jobs/agateferry_jobs/calls/client.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/client.py
@@ -65,8 +65,8 @@
             if host not in self._hosts:
                 self._hosts.append(host)
 
-    async def ask(self, ask: messages.Ask, within_ms: int) -> messages.Reply:
-        """Ask until a leader replies; `Uncertain` where one may have acted without a reply."""
+    async def call(self, call: messages.Call, within_ms: int) -> messages.Reply:
+        """Ask until a leader replies; `OutcomeUnknown` where one may have acted without a reply."""
         until_ms = self._clock.now_ms() + within_ms
         may_have_acted = False
         while True:
@@ -75,14 +75,14 @@
                 break
             host = self._choose()
             reply = (
-                await self._try(host, ask, min(TRY_MS, left_ms)) if host else messages.NotLeader()
+                await self._try(host, call, min(TRY_MS, left_ms)) if host else messages.NotLeader()
             )
             match reply:
                 case messages.NotLeader(leader):
-                    metrics.ASK_RETRIES.labels("not-leader").inc()
+                    metrics.CALL_RETRIES.labels("not-leader").inc()
                     await self._follow(host, leader)
-                case messages.Uncertain(reason):
-                    metrics.ASK_RETRIES.labels(reason).inc()
+                case messages.OutcomeUnknown(reason):
+                    metrics.CALL_RETRIES.labels(reason).inc()
                     may_have_acted = True
                     self._leader = None
                     await asyncio.sleep(PAUSE_MS / MS_PER_S)
@@ -91,7 +91,7 @@
                     self.answered_ms = self._clock.now_ms()
                     return reply
         if may_have_acted:
-            return messages.Uncertain("no reply in time")
+            return messages.OutcomeUnknown("no reply in time")
         return messages.Refused("no leader", 0)
 
     async def close(self) -> None:
@@ -117,26 +117,26 @@
         self._leader = None
         await asyncio.sleep(PAUSE_MS / MS_PER_S)
 
-    async def _try(self, host: str, ask: messages.Ask, timeout_ms: int) -> messages.Reply:
+    async def _try(self, host: str, call: messages.Call, timeout_ms: int) -> messages.Reply:
         stub_channel = self._channel(host)
         stub = rpc.LeaderStub(stub_channel)
-        wire = pb.LeaderAsk(ask=messages.encode(ask))
+        wire = pb.LeaderAsk(ask=messages.encode(call))
         try:
             answer = await stub.Ask(wire, timeout=timeout_ms / MS_PER_S)
             decoded = messages.decode_answer(answer.answer)
         except grpc.aio.AioRpcError as exc:
             self._retire(host, stub_channel)
-            self._note_failed(host, exc.code().name, _name(ask))
-            return messages.Uncertain(exc.code().name)
+            self._note_failed(host, exc.code().name, _name(call))
+            return messages.OutcomeUnknown(exc.code().name)
         except asyncio.CancelledError:
             if is_cancelled_itself():
                 raise
-            return messages.Uncertain("its channel was closed by another call")
+            return messages.OutcomeUnknown("its channel was closed by another call")
         except grpc.aio.UsageError:
-            return messages.Uncertain("its channel was closed by another call")
+            return messages.OutcomeUnknown("its channel was closed by another call")
         except msgspec.DecodeError as exc:
             self._log.warning(events.ANSWER_UNREADABLE, host=host, detail=str(exc))
-            return messages.Uncertain("unreadable")
+            return messages.OutcomeUnknown("unreadable")
         self._failing.discard(host)
         self._learn(decoded.hosts)
         return decoded.reply
@@ -178,5 +178,5 @@
         await channel.close(grace=None)
 
 
-def _name(ask: messages.Ask) -> str:
-    return type(ask).__name__
+def _name(call: messages.Call) -> str:
+    return call.label
--- a/packages/agateferry-jobs/agateferry_jobs/cell/callers.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/callers.py
@@ -26,23 +26,23 @@
         self._request_planning = request_planning
         self._log = EventLogger()
 
-    async def submit(self, ask: messages.Submit, now_ms: int) -> messages.Reply:
+    async def submit(self, call: messages.Submit, now_ms: int) -> messages.Reply:
         """Store a job, once, whatever number of times it is handed in."""
-        reply = await self._submit(ask, now_ms)
+        reply = await self._submit(call, now_ms)
         if not isinstance(reply, messages.Done):
             self._log.info(
-                events.JOB_REFUSED, path=ask.place.path, reason=type(reply).__name__, flaw=ask.flaw
+                events.JOB_REFUSED, path=call.target.path, reason=reply.label, flaw=call.parse_error
             )
         return reply
 
-    async def _submit(self, ask: messages.Submit, now_ms: int) -> messages.Reply:
-        found = self._admit(ask.place)
+    async def _submit(self, call: messages.Submit, now_ms: int) -> messages.Reply:
+        found = self._admit(call.target)
         if not isinstance(found, tuple):
             return found
         queue, team = found
-        id = _id_in(ask.place.path, queue)
-        if not id or ask.job is None:
-            return messages.Invalid(ask.flaw or "no id in the path")
+        id = _id_in(call.target.path, queue)
+        if not id or call.job is None:
+            return messages.Invalid(call.parse_error or "no id in the path")
         known = self._ledger.jobs.get(id)
         if known is not None:
             return (
@@ -51,7 +51,7 @@
                 else messages.Invalid("id used in another queue")
             )
         command = commands.AcceptJob(
-            id, queue.name, queue.service, team, queue.priority, queue.attempts, now_ms, ask.job
+            id, queue.name, queue.service, team, queue.priority, queue.attempts, now_ms, call.job
         )
         outcome = await self._proposer.propose(command)
         if outcome.is_error():
@@ -63,33 +63,33 @@
             queue=queue.name,
             team=team,
             priority=queue.priority,
-            objective_ms=round(queue.stretch * declared_ms(ask.job) + queue.target_ms),
-            steps=_shape(ask),
+            objective_ms=round(queue.stretch * declared_ms(call.job) + queue.target_ms),
+            steps=_shape(call),
         )
         self._request_planning()
         return messages.Done()
 
-    def look(self, ask: messages.Look) -> messages.Reply:
+    def get_status(self, call: messages.GetStatus) -> messages.Reply:
         """Tell how far a job got, or how many jobs of a queue wait."""
-        found = self._admit(ask.place)
+        found = self._admit(call.target)
         if not isinstance(found, tuple):
             return found
         queue, _ = found
-        id = _id_in(ask.place.path, queue)
+        id = _id_in(call.target.path, queue)
         if not id:
-            return messages.Counted(self._waiting_in(queue))
+            return messages.QueueDepth(self._waiting_in(queue))
         job = self._job(id, queue)
-        return messages.Shown(job.state) if job is not None else messages.NoJob()
+        return messages.JobStatus(job.state) if job is not None else messages.UnknownJob()
 
-    async def cancel(self, ask: messages.Cancel, now_ms: int) -> messages.Reply:
+    async def cancel(self, call: messages.Cancel, now_ms: int) -> messages.Reply:
         """Cancel a job; one that is over stays as it is."""
-        found = self._admit(ask.place)
+        found = self._admit(call.target)
         if not isinstance(found, tuple):
             return found
         queue, _ = found
-        job = self._job(_id_in(ask.place.path, queue), queue)
+        job = self._job(_id_in(call.target.path, queue), queue)
         if job is None:
-            return messages.NoJob()
+            return messages.UnknownJob()
         if not job.is_over:
             outcome = await self._proposer.propose(commands.CancelJob(job.id, now_ms))
             if outcome.is_error():
@@ -117,17 +117,17 @@
             return messages.Refused("no manifest yet", NO_MANIFEST_RETRY_MS)
         return messages.ManifestRead(manifest.source)
 
-    def _admit(self, place: messages.Place) -> tuple[Queue, str] | messages.Reply:
+    def _admit(self, target: messages.CallTarget) -> tuple[Queue, str] | messages.Reply:
         """Return the queue and the team's name, or why the call is not taken."""
         manifest = self._ledger.manifest
         if manifest is None:
             return messages.Refused("no manifest yet", NO_MANIFEST_RETRY_MS)
-        queue = manifest.queue_for(place.host, place.path)
+        queue = manifest.queue_for(target.host, target.path)
         if queue is None:
-            return messages.NoQueue()
-        team = manifest.team_of(place.key)
+            return messages.UnknownQueue()
+        team = manifest.team_of(target.key)
         if team is None and not queue.is_public:
-            return messages.BadKey()
+            return messages.InvalidApiKey()
         return queue, team.name if team is not None else ""
 
     def _job(self, id: str, queue: Queue) -> Job | None:
@@ -146,8 +146,8 @@
     return path[len(queue.prefix) :]
 
 
-def _shape(ask: messages.Submit) -> list[str]:
-    steps = ask.job.steps if ask.job is not None else ()
+def _shape(call: messages.Submit) -> list[str]:
+    steps = call.job.steps if call.job is not None else ()
     return [
         f"{s.count}x{s.need.cpu}c{s.need.mem_mb}m{s.need.gpu}g{'G' if s.is_gang else ''}"
         f"{'R' if s.same_rack else ''}{s.required_label}@{s.data_rack}~{s.estimated_ms}"
--- a/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
@@ -57,14 +57,14 @@
         """Return the time of day in ms, by an offset that stays the same while this host leads."""
         return self._clock.now_ms() + self._wall_offset_ms
 
-    async def handle(self, ask: messages.Ask) -> messages.Reply:
+    async def handle(self, call: messages.Call) -> messages.Reply:
         """Answer one call; nothing is answered on knowledge that may be out of date."""
         if not self._replica.is_leader:
             return messages.NotLeader(self._replica.leader)
-        reply = await self._answer(ask)
-        if not self._replica.is_leader and not isinstance(reply, messages.Uncertain):
-            reply = messages.Uncertain("leadership lapsed before the answer")
-        metrics.REPLIES.labels(type(ask).__name__, type(reply).__name__).inc()
+        reply = await self._answer(call)
+        if not self._replica.is_leader and not isinstance(reply, messages.OutcomeUnknown):
+            reply = messages.OutcomeUnknown("leadership lapsed before the answer")
+        metrics.REPLIES.labels(call.label, reply.label).inc()
         if isinstance(reply, messages.Refused):
             metrics.REFUSALS.labels(reply.reason).inc()
         return reply
@@ -74,19 +74,19 @@
         self._stop()
         await self._registry.clear()
 
-    async def _answer(self, ask: messages.Ask) -> messages.Reply:
-        match ask:
+    async def _answer(self, call: messages.Call) -> messages.Reply:
+        match call:
             case messages.Submit():
-                return await self._callers.submit(ask, self.now_ms)
-            case messages.Look():
-                return self._callers.look(ask)
+                return await self._callers.submit(call, self.now_ms)
+            case messages.GetStatus():
+                return self._callers.get_status(call)
             case messages.Cancel():
-                return await self._callers.cancel(ask, self.now_ms)
-            case messages.Beat():
-                return await self._registry.on_beat(ask)
-            case messages.Leave(worker):
-                return await self._registry.on_leave(worker)
-            case messages.Install(manifest):
+                return await self._callers.cancel(call, self.now_ms)
+            case messages.Heartbeat():
+                return await self._registry.on_heartbeat(call)
+            case messages.Deregister(worker):
+                return await self._registry.on_deregister(worker)
+            case messages.InstallManifest(manifest):
                 return await self._callers.install(manifest)
             case messages.ReadManifest():
                 return self._callers.read_manifest()
--- a/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
@@ -36,5 +36,5 @@
 def reply_for(error: ProposeError) -> messages.Reply:
     """Return what is told to the one who asked for a command without an outcome."""
     if error.kind is ProposeErrorKind.UNKNOWN:
-        return messages.Uncertain(error.detail or error.kind)
+        return messages.OutcomeUnknown(error.detail or error.kind)
     return messages.NotLeader(error.leader)
--- a/packages/agateferry-jobs/agateferry_jobs/cell/servicer.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/servicer.py
@@ -13,7 +13,7 @@
 class LeaderServicer(rpc.LeaderServicer):
     """Decode a question, have it answered and encode the answer."""
 
-    def __init__(self, answer: Callable[[messages.Ask], Awaitable[messages.Answer]]) -> None:
+    def __init__(self, answer: Callable[[messages.Call], Awaitable[messages.Answer]]) -> None:
         self._answer = answer
 
     async def Ask(  # noqa: N802
@@ -21,7 +21,7 @@
     ) -> pb.LeaderAnswer:
         """Answer one question."""
         try:
-            ask = messages.decode_ask(request.ask)
+            call = messages.decode_call(request.ask)
         except msgspec.DecodeError as exc:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(exc))
-        return pb.LeaderAnswer(answer=messages.encode(await self._answer(ask)))
+        return pb.LeaderAnswer(answer=messages.encode(await self._answer(call)))
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
@@ -80,7 +80,7 @@
 
     async def play(self):
         self.replica.lead()
-        await self.leader.handle(messages.Install(manifest()))
+        await self.leader.handle(messages.InstallManifest(manifest()))
         ticking = asyncio.create_task(self.tick_for_ever())
         try:
             for step in range(STEPS):
@@ -112,8 +112,8 @@
         )
 
     async def submit(self, id):
-        place = messages.Place("host", f"/jobs/{id}", "key")
-        await self.leader.handle(messages.Submit(place, self.rng.choice((SINGLE, GANG))))
+        target = messages.CallTarget("host", f"/jobs/{id}", "key")
+        await self.leader.handle(messages.Submit(target, self.rng.choice((SINGLE, GANG))))
 
     def any_port(self):
         return self.ports[self.rng.choice(sorted(self.ports))]
@@ -163,7 +163,7 @@
         old.running.clear()
         self.incarnations[id] = worker(id, born=old.born + 1)
         self.ports[id] = self.new_port(old.born + 1)
-        await self.leader.handle(messages.Beat(self.incarnations[id], 1))
+        await self.leader.handle(messages.Heartbeat(self.incarnations[id], 1))
 
     async def change_leader(self):
         self.replica.lead(False)
@@ -189,13 +189,15 @@
                 port.percent = (port.percent + PROGRESS) % 99
             self.check()
             if tick % BEAT_TICKS == 0:
-                await self.beat()
+                await self.heartbeat()
             await asyncio.sleep(TICK_S)
 
-    async def beat(self):
+    async def heartbeat(self):
         for id, port in self.ports.items():
             if not port.is_cut and self.replica.is_leader:
-                await self.leader.handle(messages.Beat(self.incarnations[id], self.clock.now_ms()))
+                await self.leader.handle(
+                    messages.Heartbeat(self.incarnations[id], self.clock.now_ms())
+                )
 
     def check(self):
         self.check_once()
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
@@ -18,8 +18,8 @@
 ID = "5c0e7a21d94b36f8"
 
 
-def place(path=ID, key="key", host="host"):
-    return messages.Place(host, f"/jobs/{path}", key)
+def target(path=ID, key="key", host="host"):
+    return messages.CallTarget(host, f"/jobs/{path}", key)
 
 
 class LeaderCase(testtools.TestCase):
@@ -31,7 +31,7 @@
             self.replica = MemoryReplica(self.ledger)
             self.leader = Leader(self.replica, self.ledger, self.clock, self.port_to, lease_ms)
             self.replica.lead()
-            await self.ask(messages.Install(manifest()))
+            await self.call(messages.InstallManifest(manifest()))
             try:
                 await scenario()
             finally:
@@ -45,11 +45,11 @@
             known = self.ports[incarnation.id] = ModelWorker(self.clock, incarnation.born)
         return known
 
-    async def ask(self, ask):
-        return await self.leader.handle(ask)
+    async def call(self, call):
+        return await self.leader.handle(call)
 
-    async def beat(self, incarnation, sequence=1):
-        return await self.ask(messages.Beat(incarnation, sequence))
+    async def heartbeat(self, incarnation, sequence=1):
+        return await self.call(messages.Heartbeat(incarnation, sequence))
 
     async def until(self, condition, what):
         for _ in range(600):
@@ -62,42 +62,50 @@
         await self.until(lambda: len(self.ports[id].running) == count, f"{count} runs on {id}")
 
     async def state(self):
-        return (await self.ask(messages.Look(place()))).state
+        return (await self.call(messages.GetStatus(target()))).state
 
 
 class CallTests(LeaderCase):
     def test_a_job_runs_to_its_end(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            self.assertEqual(messages.Done(), await self.ask(messages.Submit(place(), JOB)))
+            await self.heartbeat(worker("w1"))
+            self.assertEqual(messages.Done(), await self.call(messages.Submit(target(), JOB)))
             await self.running_on("w1")
             self.assertEqual(JobState.RUNNING, await self.state())
             self.ports["w1"].end((ID, "0.0.0"), "done")
             await self.until(lambda: self.ledger.jobs[ID].is_completed, "completed")
             self.assertEqual(JobState.COMPLETED, await self.state())
-            self.assertEqual(messages.Done(), await self.ask(messages.Submit(place(), JOB)))
+            self.assertEqual(messages.Done(), await self.call(messages.Submit(target(), JOB)))
 
         self.check(scenario)
 
     def test_calls_are_refused_as_the_manifest_in_force_says(self):
         async def scenario():
-            self.assertEqual(messages.NoQueue(), await self.ask(messages.Look(place(host="other"))))
-            self.assertEqual(messages.BadKey(), await self.ask(messages.Look(place(key="old"))))
-            self.assertEqual(messages.NoJob(), await self.ask(messages.Look(place())))
-            self.assertEqual(messages.NoJob(), await self.ask(messages.Cancel(place())))
+            self.assertEqual(
+                messages.UnknownQueue(), await self.call(messages.GetStatus(target(host="other")))
+            )
+            self.assertEqual(
+                messages.InvalidApiKey(), await self.call(messages.GetStatus(target(key="old")))
+            )
+            self.assertEqual(messages.UnknownJob(), await self.call(messages.GetStatus(target())))
+            self.assertEqual(messages.UnknownJob(), await self.call(messages.Cancel(target())))
             self.assertIsInstance(
-                await self.ask(messages.Submit(place(), None, "flaw")), messages.Invalid
+                await self.call(messages.Submit(target(), None, "flaw")), messages.Invalid
             )
 
         self.check(scenario)
 
     def test_a_queue_counts_what_has_not_begun(self):
         async def scenario():
-            await self.ask(messages.Submit(place(), JOB))
-            self.assertEqual(messages.Counted(1), await self.ask(messages.Look(place(""))))
-            await self.beat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
+            self.assertEqual(
+                messages.QueueDepth(1), await self.call(messages.GetStatus(target("")))
+            )
+            await self.heartbeat(worker("w1"))
             await self.running_on("w1")
-            self.assertEqual(messages.Counted(0), await self.ask(messages.Look(place(""))))
+            self.assertEqual(
+                messages.QueueDepth(0), await self.call(messages.GetStatus(target("")))
+            )
 
         self.check(scenario)
 
@@ -105,7 +113,9 @@
         async def scenario():
             self.replica.is_leader = False
             self.replica.leader = "there"
-            self.assertEqual(messages.NotLeader("there"), await self.ask(messages.Look(place())))
+            self.assertEqual(
+                messages.NotLeader("there"), await self.call(messages.GetStatus(target()))
+            )
             self.replica.is_leader = True
 
         self.check(scenario)
@@ -113,9 +123,11 @@
     def test_a_job_whose_fate_is_unknown_is_neither_accepted_nor_refused(self):
         async def scenario():
             self.replica.fate = lambda _: ProposeErrorKind.UNKNOWN
-            self.assertIsInstance(await self.ask(messages.Submit(place(), JOB)), messages.Uncertain)
+            self.assertIsInstance(
+                await self.call(messages.Submit(target(), JOB)), messages.OutcomeUnknown
+            )
             self.replica.fate = lambda _: None
-            self.assertEqual(messages.Done(), await self.ask(messages.Submit(place(), JOB)))
+            self.assertEqual(messages.Done(), await self.call(messages.Submit(target(), JOB)))
 
         self.check(scenario)
 
@@ -127,8 +139,8 @@
                 commands.decode(data), commands.StartRuns
             )
             self.replica.fate = lambda data: ProposeErrorKind.NOT_LEADER if is_start(data) else None
-            await self.beat(worker("w1"))
-            await self.ask(messages.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await asyncio.sleep(0.5)
             self.assertEqual([], self.ports["w1"].starts)
             self.replica.fate = lambda _: None
@@ -142,8 +154,8 @@
                 commands.decode(data), commands.StartRuns
             )
             self.replica.fate = lambda data: ProposeErrorKind.UNKNOWN if is_start(data) else None
-            await self.beat(worker("w1"))
-            await self.ask(messages.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await self.until(lambda: self.ledger.jobs[ID].has_started, "stored")
             self.replica.fate = lambda _: None
             await self.running_on("w1")
@@ -152,10 +164,10 @@
 
     def test_a_cancelled_job_is_stopped(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            await self.ask(messages.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await self.running_on("w1")
-            await self.ask(messages.Cancel(place()))
+            await self.call(messages.Cancel(target()))
             await self.running_on("w1", 0)
             self.assertEqual(JobState.CANCELLED, await self.state())
 
@@ -163,8 +175,8 @@
 
     def test_a_new_leader_takes_over_what_runs(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            await self.ask(messages.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await self.running_on("w1")
             self.replica.lead(False)
             self.replica.lead()
@@ -178,8 +190,8 @@
 class WorkerTests(LeaderCase):
     def test_a_draining_worker_gets_nothing_once_that_is_acknowledged(self):
         async def scenario():
-            await self.beat(worker("w1", state=WorkerState.DRAINING))
-            await self.ask(messages.Submit(place(), JOB))
+            await self.heartbeat(worker("w1", state=WorkerState.DRAINING))
+            await self.call(messages.Submit(target(), JOB))
             await asyncio.sleep(0.4)
             self.assertEqual([], self.ports["w1"].starts)
 
@@ -187,23 +199,23 @@
 
     def test_work_of_a_life_that_is_over_runs_elsewhere_at_once(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            await self.ask(messages.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await self.running_on("w1")
-            await self.beat(worker("w2"))
-            await self.beat(worker("w1", born=2, state=WorkerState.DRAINING))
+            await self.heartbeat(worker("w2"))
+            await self.heartbeat(worker("w1", born=2, state=WorkerState.DRAINING))
             await self.running_on("w2")
 
         self.check(scenario)
 
     def test_work_of_a_silent_worker_runs_elsewhere_only_after_its_lease(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            await self.ask(messages.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await self.running_on("w1")
             silent = self.ports["w1"]
             silent.is_cut = True
-            await self.beat(worker("w2"))
+            await self.heartbeat(worker("w2"))
             await self.running_on("w2")
             self.assertGreaterEqual(self.clock.now_ms(), silent.deadline_ms)
 
@@ -213,12 +225,12 @@
 class GangTests(LeaderCase):
     def test_members_of_a_gang_that_did_not_start_whole_are_stopped_at_once(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            await self.beat(worker("w2"))
+            await self.heartbeat(worker("w1"))
+            await self.heartbeat(worker("w2"))
             step = StepSpec(2, WHOLE, is_gang=True)
             await self.until(lambda: len(self.ports) == 2, "sessions")
             self.ports["w2"].is_full = True
-            await self.ask(messages.Submit(place(), JobSpec("payload", (step,))))
+            await self.call(messages.Submit(target(), JobSpec("payload", (step,))))
             await self.until(lambda: self.ports["w1"].starts, "one member")
             async with asyncio.timeout(HUNG_MS / 2 / 1000):
                 await self.running_on("w1", 0)
--- a/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
@@ -71,11 +71,11 @@
         for session in sessions.values():
             await session.close()
 
-    async def on_beat(self, beat: messages.Beat) -> messages.Reply:
+    async def on_heartbeat(self, heartbeat: messages.Heartbeat) -> messages.Reply:
         """Take in what a worker says of itself; an answer says that it is stored."""
-        incarnation = beat.worker
+        incarnation = heartbeat.worker
         key = (incarnation.id, incarnation.born)
-        if beat.sequence < self._sequences.get(key, -1):
+        if heartbeat.sequence < self._sequences.get(key, -1):
             return messages.Done()
         known = self._ledger.workers.get(incarnation.id)
         if known != incarnation and not self._is_outdated(incarnation):
@@ -91,17 +91,17 @@
                     rack=incarnation.rack,
                 )
                 await self._renew(incarnation)
-        self._sequences[key] = beat.sequence
+        self._sequences[key] = heartbeat.sequence
         session = self.sessions.get(incarnation.id)
         if session is not None and session.incarnation.born == incarnation.born:
-            session.note_beat()
+            session.record_heartbeat()
         return messages.Done()
 
-    async def on_leave(self, worker: str) -> messages.Reply:
+    async def on_deregister(self, worker: str) -> messages.Reply:
         """Take in that a worker ends; what ran there is over."""
         incarnation = self._ledger.workers.get(worker)
         if incarnation is not None and not await self._remove(incarnation):
-            return messages.Uncertain("not stored")
+            return messages.OutcomeUnknown("not stored")
         return messages.Done()
 
     def start(self, start: commands.RunStart, payload: str) -> None:
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/cell.py
@@ -87,21 +87,21 @@
         await self._transport.close()
         await self.client.close()
 
-    async def answer(self, ask: messages.Ask) -> messages.Answer:
+    async def answer(self, call: messages.Call) -> messages.Answer:
         """Answer a question of another host."""
         if self._leader is None or self._replica is None:
             return messages.Answer(messages.NotLeader())
-        reply = await self._leader.handle(ask)
+        reply = await self._leader.handle(call)
         hosts = tuple(member.id.host for member in self._replica.members.voters)
         return messages.Answer(reply, hosts)
 
-    async def ask(self, ask: messages.Ask, within_ms: int) -> messages.Reply:
+    async def call(self, call: messages.Call, within_ms: int) -> messages.Reply:
         """Answer here where this host leads, else ask the host that does."""
-        answer = await self.answer(ask)
+        answer = await self.answer(call)
         if not isinstance(answer.reply, messages.NotLeader):
             return answer.reply
         self.client.add_hosts(answer.hosts)
-        return await self.client.ask(ask, within_ms)
+        return await self.client.call(call, within_ms)
 
     @property
     def leader_host(self) -> str | None:
@@ -112,7 +112,7 @@
         """Return the hosts to greet: the seeds, and for a late comer those that they know."""
         if self.cfg.may_bootstrap:
             return self.cfg.seeds
-        await self.client.ask(messages.Ping(), DISCOVERY_TRY_MS)
+        await self.client.call(messages.Ping(), DISCOVERY_TRY_MS)
         return self.client.hosts
 
     def _join(self, hosts: tuple[str, ...], may_bootstrap: bool) -> NodeReplica:
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
@@ -25,11 +25,11 @@
 
 
 def submit(id):
-    return messages.Submit(messages.Place("host", f"/jobs/{id}", "key"), JOB)
+    return messages.Submit(messages.CallTarget("host", f"/jobs/{id}", "key"), JOB)
 
 
 def look(id):
-    return messages.Look(messages.Place("host", f"/jobs/{id}", "key"))
+    return messages.GetStatus(messages.CallTarget("host", f"/jobs/{id}", "key"))
 
 
 class CellCase(testtools.TestCase):
@@ -80,7 +80,8 @@
                 self.hosts = {ip: self.make(ip) for ip in IPS}
                 await asyncio.gather(*(host.start() for host in self.hosts.values()))
                 self.assertEqual(
-                    messages.Done(), await self.client.ask(messages.Install(manifest()), ASK_MS)
+                    messages.Done(),
+                    await self.client.call(messages.InstallManifest(manifest()), ASK_MS),
                 )
                 await self.until(lambda: self.all_vote(set(IPS)), "all three vote")
                 try:
@@ -110,11 +111,11 @@
 class KillTests(CellCase):
     def test_callers_are_served_again_soon_after_the_leader_is_killed(self):
         async def scenario():
-            self.assertEqual(messages.Done(), await self.client.ask(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.call(submit("a"), ASK_MS))
             leader = self.hosts["127.0.0.1"].leader_host
             await self.kill(self.hosts.pop(leader))
-            reply = await self.client.ask(look("a"), ASK_MS)
-            self.assertEqual(messages.Shown(JobState.QUEUED), reply)
+            reply = await self.client.call(look("a"), ASK_MS)
+            self.assertEqual(messages.JobStatus(JobState.QUEUED), reply)
 
         self.check(scenario)
 
@@ -123,15 +124,15 @@
             rng = random.Random(7)
             accepted = []
             for seed in range(SEEDS):
-                asked = asyncio.create_task(self.client.ask(submit(f"job-{seed}"), 300))
+                asked = asyncio.create_task(self.client.call(submit(f"job-{seed}"), 300))
                 await asyncio.sleep(rng.random() * 0.03)
                 await asyncio.gather(*(self.kill(host) for host in self.hosts.values()))
                 if isinstance(await asked, messages.Done):
                     accepted.append(f"job-{seed}")
                 await asyncio.gather(*(self.restart(ip) for ip in IPS))
                 for id in accepted:
-                    reply = await self.client.ask(look(id), ASK_MS)
-                    self.assertEqual(messages.Shown(JobState.QUEUED), reply, id)
+                    reply = await self.client.call(look(id), ASK_MS)
+                    self.assertEqual(messages.JobStatus(JobState.QUEUED), reply, id)
 
         self.check(scenario)
 
@@ -146,10 +147,10 @@
         cell had no majority, and jobs were lost."""
 
         async def scenario():
-            self.assertEqual(messages.Done(), await self.client.ask(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.call(submit("a"), ASK_MS))
             for ip in IPS[:2]:
                 self.fill(self.hosts[ip])
-            self.assertEqual(messages.Done(), await self.client.ask(submit("b"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.call(submit("b"), ASK_MS))
             for host in self.hosts.values():
                 await self.until(lambda host=host: {"a", "b"} <= {*host.ledger.jobs}, "both jobs")
                 self.assertIsNone(host._replica.failure)
@@ -160,7 +161,7 @@
 class ReplaceTests(CellCase):
     def test_an_empty_host_at_a_new_address_takes_the_place_of_one_that_is_gone(self):
         async def scenario():
-            self.assertEqual(messages.Done(), await self.client.ask(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.call(submit("a"), ASK_MS))
             leader = self.hosts["127.0.0.1"].leader_host
             gone = next(ip for ip in IPS if ip != leader)
             await self.kill(self.hosts.pop(gone))
--- a/packages/agateferry-jobs/agateferry_jobs/entry/watch.py
+++ b/packages/agateferry-jobs/agateferry_jobs/entry/watch.py
@@ -40,7 +40,7 @@
         while True:
             at_ms = self._client.answered_ms
             if at_ms is None or self._clock.now_ms() - at_ms >= PING_MS:
-                await self._client.ask(messages.Ping(), PING_TIMEOUT_MS)
+                await self._client.call(messages.Ping(), PING_TIMEOUT_MS)
             self._note()
             await asyncio.sleep(PING_MS / MS_PER_S / 2)
 
--- a/packages/agateferry-jobs/agateferry_jobs/metrics.py
+++ b/packages/agateferry-jobs/agateferry_jobs/metrics.py
@@ -6,8 +6,8 @@
 CALL_BUCKETS_S = (0.002, 0.005, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0)
 
 REPLIES = Counter("agateferry_jobs_replies", "Replies of the leader.", ["ask", "reply"])
-ASK_RETRIES = Counter("agateferry_jobs_ask_retries", "Calls to the leader made again.", ["reason"])
-ASK_SECONDS = Histogram(
+CALL_RETRIES = Counter("agateferry_jobs_ask_retries", "Calls to the leader made again.", ["reason"])
+CALL_SECONDS = Histogram(
     "agateferry_jobs_ask_seconds", "From a call to its reply.", buckets=CALL_BUCKETS_S
 )
 REFUSALS = Counter("agateferry_jobs_refusals", "Calls refused without effect.", ["reason"])
--- a/packages/agateferry-jobs/agateferry_jobs/workers/session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/session.py
@@ -44,7 +44,7 @@
 """The pause after a call that failed."""
 STOP_AGAIN_MS = 600
 """A stop that has not shown in the lists is ordered again after this."""
-BEAT_SILENCE_MS = 5000
+HEARTBEAT_SILENCE_MS = 5000
 """A worker of which nothing was heard for three heartbeats gets no new work."""
 
 
@@ -124,7 +124,7 @@
     def health(self, is_suspect: bool) -> WorkerHealth:
         """Return what the planner needs to know."""
         silent_ms = self._clock.now_ms() - self.heard_ms
-        answers = self._is_contacted and not self._is_failing and silent_ms < BEAT_SILENCE_MS
+        answers = self._is_contacted and not self._is_failing and silent_ms < HEARTBEAT_SILENCE_MS
         return WorkerHealth(answers, is_suspect, tuple(self.strays))
 
     def adopt(self, key: RunKey, run: Run) -> None:
@@ -148,7 +148,7 @@
             tracked.is_stopping = True
             self._spawn(self._order_stop(key, tracked.run.number, tracked))
 
-    def note_beat(self) -> None:
+    def record_heartbeat(self) -> None:
         """Hear that the worker is alive."""
         self.heard_ms = self._clock.now_ms()
 
