--- a/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
@@ -18,7 +18,7 @@
 from agateferry_jobs.ledger import Ledger, Run, commands
 from agateferry_jobs.planning import Fleet, Plan, Planner
 from agateferry_jobs.planning.fleet import RunKey
-from agateferry_jobs.workers.session import Phase, PortFactory, Tracked
+from agateferry_jobs.workers.session import Phase, PortFactory, TrackedRun
 from agateferry_state.replica.protocols import Replica
 
 TICK_MS = 250
@@ -281,6 +281,6 @@
             self._log.info(events.JOB_ENDED, job=job.id, state=job.state)
 
 
-def _is_hung(tracked: Tracked, now_ms: int) -> bool:
+def _is_hung(tracked: TrackedRun, now_ms: int) -> bool:
     is_at_work = tracked.phase is Phase.CONFIRMED and not tracked.is_stopping
     return is_at_work and tracked.percent < 100 and now_ms - tracked.moved_ms > HUNG_MS
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
@@ -249,12 +249,12 @@
         self.assert_found(Lease, "is_over", lambda lease, now_ms: True)
 
     def test_an_order_without_an_answer_that_is_not_fenced_off(self):
-        def doubt(session, tracked):
+        def mark_uncertain(session, tracked):
             tracked.phase = Phase.UNCERTAIN
-            tracked.known_at = session._look
+            tracked.known_at = session._poll_number
             session._wake.set()
 
-        self.assert_found(WorkerSession, "_doubt", doubt)
+        self.assert_found(WorkerSession, "_mark_uncertain", mark_uncertain)
 
     def test_room_of_runs_that_are_being_stopped_or_started_does_not_count(self):
         def allocate(worker, job, subtask):
--- a/packages/agateferry-jobs/agateferry_jobs/metrics.py
+++ b/packages/agateferry-jobs/agateferry_jobs/metrics.py
@@ -24,4 +24,4 @@
 STARTS_UNCLEAR = Counter(
     "agateferry_jobs_starts_unclear", "Starts rejected or without a clear answer.", ["reason"]
 )
-LOOKS = Counter("agateferry_jobs_looks", "Looks at workers, by outcome.", ["outcome"])
+POLLS = Counter("agateferry_jobs_looks", "Looks at workers, by outcome.", ["outcome"])
--- a/packages/agateferry-jobs/agateferry_jobs/support/model_worker.py
+++ b/packages/agateferry-jobs/agateferry_jobs/support/model_worker.py
@@ -12,11 +12,11 @@
     Answer,
     Confirmed,
     FinishedRun,
-    HoldOrder,
-    Listed,
+    IncarnationMismatch,
     NoAnswer,
-    OtherLife,
+    PollOrder,
     Rejected,
+    RunLists,
     RunningRun,
     StartOrder,
     StopOrder,
@@ -95,9 +95,9 @@
             self.end(order.key, "stopped")
         return Confirmed(self.clock.now_ms())
 
-    async def hold(
-        self, order: HoldOrder, timeout_ms: int
-    ) -> Listed | Rejected | OtherLife | NoAnswer:
+    async def poll(
+        self, order: PollOrder, timeout_ms: int
+    ) -> RunLists | Rejected | IncarnationMismatch | NoAnswer:
         """Extend the lease and list."""
         await asyncio.sleep(WAIT_STEP_S)
         for _ in range(order.wait_ms // WAIT_STEP_MS):
@@ -107,7 +107,7 @@
         if self.is_cut:
             return NoAnswer("cut")
         if self.is_other:
-            return OtherLife()
+            return IncarnationMismatch()
         if order.token < self.token:
             return Rejected("fence", self.clock.now_ms())
         self.token = order.token
@@ -115,7 +115,7 @@
             self.deadline_ms = max(self.deadline_ms, order.deadline_ms)
         self.ends = [end for end in self.ends if end.number > order.cursor]
         running = tuple(RunningRun(k, r, "", self.percent) for k, r in self.running.items())
-        return Listed(self.clock.now_ms(), self.born, running, tuple(self.ends))
+        return RunLists(self.clock.now_ms(), self.born, running, tuple(self.ends))
 
     def end(self, key: RunKey, outcome: str, checkpoint: str = "") -> None:
         """Have a run end."""
--- a/packages/agateferry-jobs/agateferry_jobs/workers/port.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/port.py
@@ -1,7 +1,7 @@
 """What can be asked of one worker, and what may come back; how it is said is the platform's."""
 
 from dataclasses import dataclass
-from typing import Protocol
+from typing import ClassVar, Protocol
 
 from agateferry_jobs.planning.fleet import RunKey
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HoldOrder:
+class PollOrder:
     """Extend the lease of all that runs, forget ends up to `cursor` and list the rest.
 
     `deadline_ms` is on the worker's clock; None extends nothing. The answer may take `wait_ms`.
@@ -65,13 +65,17 @@
 class Confirmed:
     """An order was carried out."""
 
+    label: ClassVar[str] = "Confirmed"
+
     clock_ms: int
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class RunLists:
     """The lists of a worker; `born` is None where the worker did not say it."""
 
+    label: ClassVar[str] = "Listed"
+
     clock_ms: int
     born: int | None
     running: tuple[RunningRun, ...]
@@ -82,23 +86,33 @@
 class Rejected:
     """An order was refused and did nothing."""
 
+    label: ClassVar[str] = "Rejected"
+
     reason: str
     clock_ms: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class OtherLife:
+class IncarnationMismatch:
     """Another life runs at the address."""
 
+    label: ClassVar[str] = "OtherLife"
+
+    def __str__(self) -> str:
+        """Return the text that the log has for this answer."""
+        return f"{self.label}()"
+
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
     """Nothing, or nothing that can be read, came back; the order may still be carried out."""
 
+    label: ClassVar[str] = "NoAnswer"
+
     detail: str
 
 
-Answer = Confirmed | Rejected | OtherLife | NoAnswer
+Answer = Confirmed | Rejected | IncarnationMismatch | NoAnswer
 
 
 class WorkerPort(Protocol):
@@ -110,9 +124,9 @@
     async def stop(self, order: StopOrder, timeout_ms: int) -> Answer:
         """Order a stop."""
 
-    async def hold(
-        self, order: HoldOrder, timeout_ms: int
-    ) -> Listed | Rejected | OtherLife | NoAnswer:
+    async def poll(
+        self, order: PollOrder, timeout_ms: int
+    ) -> RunLists | Rejected | IncarnationMismatch | NoAnswer:
         """Extend the lease and ask for the lists."""
 
     async def close(self) -> None:
--- a/packages/agateferry-jobs/agateferry_jobs/workers/session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/session.py
@@ -23,11 +23,11 @@
 from agateferry_jobs.workers.port import (
     Confirmed,
     FinishedRun,
-    HoldOrder,
-    Listed,
+    IncarnationMismatch,
     NoAnswer,
-    OtherLife,
+    PollOrder,
     Rejected,
+    RunLists,
     StartOrder,
     StopOrder,
     WorkerPort,
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Tracked:
+class TrackedRun:
     """A run that the ledger places here."""
 
     run: Run
@@ -102,7 +102,7 @@
         lease: Lease,
     ) -> None:
         self.incarnation = incarnation
-        self.runs: dict[RunKey, Tracked] = {}
+        self.runs: dict[RunKey, TrackedRun] = {}
         self.strays: dict[RunKey, int] = {}
         self.heard_ms = clock.now_ms()
         self._port = port
@@ -110,7 +110,7 @@
         self._clock = clock
         self._lease = lease
         self._token = listener.next_token()
-        self._look = 0
+        self._poll_number = 0
         self._is_contacted = False
         self._is_failing = False
         self._clock_seen = -1
@@ -132,12 +132,16 @@
         tracked = self.runs.get(key)
         if tracked is not None and tracked.run == run:
             return
-        self.runs[key] = Tracked(run, Phase.UNCERTAIN, self._look, moved_ms=self._clock.now_ms())
+        self.runs[key] = TrackedRun(
+            run, Phase.UNCERTAIN, self._poll_number, moved_ms=self._clock.now_ms()
+        )
         self._wake.set()
 
     def start(self, start: RunStart, payload: str) -> None:
         """Order a run whose intent is stored."""
-        tracked = Tracked(start.run, Phase.ORDERED, self._look, moved_ms=self._clock.now_ms())
+        tracked = TrackedRun(
+            start.run, Phase.ORDERED, self._poll_number, moved_ms=self._clock.now_ms()
+        )
         self.runs[(start.job, start.subtask)] = tracked
         self._spawn(self._order_start(start, payload, tracked))
 
@@ -180,37 +184,37 @@
 
     async def _run(self) -> None:
         while True:
-            if not self._needs_look():
+            if not self._needs_poll():
                 self._wake.clear()
                 await self._wake.wait()
                 continue
             if not self._listener.may_order():
                 await asyncio.sleep(RETRY_MS / MS_PER_S)
                 continue
-            if not await self._look_once():
+            if not await self._poll_once():
                 await asyncio.sleep(RETRY_MS / MS_PER_S)
 
-    def _needs_look(self) -> bool:
+    def _needs_poll(self) -> bool:
         is_owed = bool(self.runs or self.strays) or self._cursor > self._told_cursor
         return is_owed or not self._is_contacted or self._is_failing
 
-    async def _look_once(self) -> bool:
+    async def _poll_once(self) -> bool:
         now_ms = self._clock.now_ms()
         is_urgent = not self._is_contacted or bool(self.strays)
         is_urgent |= any(t.phase is Phase.UNCERTAIN for t in self.runs.values())
         wait_ms = 0 if is_urgent or not self.runs else WAIT_MS
         deadline_ms = self._next_deadline(now_ms)
         cursor = self._cursor
-        self._look += 1
-        look, token = self._look, self._token
-        order = HoldOrder(deadline_ms, token, cursor, wait_ms)
-        answer = await self._port.hold(order, wait_ms + ANSWER_SLACK_MS)
-        metrics.LOOKS.labels(type(answer).__name__).inc()
+        self._poll_number += 1
+        poll_number, token = self._poll_number, self._token
+        order = PollOrder(deadline_ms, token, cursor, wait_ms)
+        answer = await self._port.poll(order, wait_ms + ANSWER_SLACK_MS)
+        metrics.POLLS.labels(answer.label).inc()
         match answer:
-            case Listed():
+            case RunLists():
                 self._told_cursor = max(self._told_cursor, cursor)
-                return await self._take_lists(answer, look)
-            case OtherLife():
+                return await self._take_lists(answer, poll_number)
+            case IncarnationMismatch():
                 self._listener.on_incarnation_replaced(self.incarnation)
                 return False
             case Rejected(reason="fence"):
@@ -244,7 +248,7 @@
                 tracked.moved_ms = now_ms
             self._listener.request_planning()
 
-    async def _take_lists(self, lists: Listed, look: int) -> bool:
+    async def _take_lists(self, lists: RunLists, poll_number: int) -> bool:
         if lists.born is not None and lists.born != self.incarnation.born:
             self._listener.on_incarnation_replaced(self.incarnation)
             return False
@@ -257,10 +261,10 @@
             self._listener.request_planning()
         ends = self._ends_told(lists)
         self._note_running(lists)
-        ends += self._ends_concluded(lists, look)
+        ends += self._ends_concluded(lists, poll_number)
         return await self._store(lists, ends)
 
-    async def _store(self, lists: Listed, ends: list[RunEnded]) -> bool:
+    async def _store(self, lists: RunLists, ends: list[RunEnded]) -> bool:
         if ends and not await self._listener.store_ends(tuple(ends)):
             return False
         for end in ends:
@@ -269,7 +273,7 @@
         self._cursor = max(self._cursor, newest)
         return True
 
-    def _ends_told(self, lists: Listed) -> list[RunEnded]:
+    def _ends_told(self, lists: RunLists) -> list[RunEnded]:
         ends = []
         for finished in lists.finished:
             if finished.number > self._cursor:
@@ -281,7 +285,7 @@
         job, subtask = finished.key
         return RunEnded(job, subtask, run, RunOutcome(finished.outcome), finished.checkpoint)
 
-    def _note_running(self, lists: Listed) -> None:
+    def _note_running(self, lists: RunLists) -> None:
         self.strays.clear()
         now_ms = self._clock.now_ms()
         for each in lists.running:
@@ -296,17 +300,17 @@
             tracked.checkpoint = each.checkpoint or tracked.checkpoint
             if tracked.phase is Phase.UNCERTAIN:
                 tracked.phase = Phase.CONFIRMED
-                tracked.known_at = self._look
+                tracked.known_at = self._poll_number
             if tracked.is_stopping and _is_due(tracked.stop_sent_ms, now_ms):
                 self._spawn(self._order_stop(each.key, each.run, tracked))
 
-    def _ends_concluded(self, lists: Listed, look: int) -> list[RunEnded]:
+    def _ends_concluded(self, lists: RunLists, poll_number: int) -> list[RunEnded]:
         """Return the ends of runs that should be listed and are not."""
         listed = {(each.key, each.run) for each in lists.running}
         listed |= {(each.key, each.run) for each in lists.finished}
         ends = []
         for key, tracked in self.runs.items():
-            if (key, tracked.run.number) in listed or tracked.known_at >= look:
+            if (key, tracked.run.number) in listed or tracked.known_at >= poll_number:
                 continue
             if tracked.phase is Phase.UNCERTAIN:
                 ends.append(_end(key, tracked, RunOutcome.REFUSED))
@@ -314,7 +318,7 @@
                 ends.append(_end(key, tracked, RunOutcome.LOST))
         return ends
 
-    async def _order_start(self, start: RunStart, payload: str, tracked: Tracked) -> None:
+    async def _order_start(self, start: RunStart, payload: str, tracked: TrackedRun) -> None:
         key = (start.job, start.subtask)
         token = self._token
         for attempt in range(START_TRIES):
@@ -327,7 +331,7 @@
                 case Confirmed(clock_ms):
                     self._note_answering(clock_ms)
                     tracked.phase = Phase.CONFIRMED
-                    tracked.known_at = self._look
+                    tracked.known_at = self._poll_number
                     self._wake.set()
                     return
                 case Rejected(reason) if attempt == 0:
@@ -338,26 +342,26 @@
                     await self._refuse(key, tracked)
                     return
                 case _:
-                    metrics.STARTS_UNCLEAR.labels(type(answer).__name__).inc()
+                    metrics.STARTS_UNCLEAR.labels(answer.label).inc()
                     self._log.warning(
                         events.START_UNCERTAIN, job=key[0], subtask=key[1], detail=str(answer)
                     )
-        self._doubt(tracked)
+        self._mark_uncertain(tracked)
 
-    async def _refuse(self, key: RunKey, tracked: Tracked) -> None:
+    async def _refuse(self, key: RunKey, tracked: TrackedRun) -> None:
         if await self._listener.store_ends((_end(key, tracked, RunOutcome.REFUSED),)):
             self.forget(key, tracked.run)
         else:
-            self._doubt(tracked)
+            self._mark_uncertain(tracked)
 
-    def _doubt(self, tracked: Tracked) -> None:
+    def _mark_uncertain(self, tracked: TrackedRun) -> None:
         """Leave a run to the next lists, under a token that refuses its order from now on."""
         self._token = self._listener.next_token()
         tracked.phase = Phase.UNCERTAIN
-        tracked.known_at = self._look
+        tracked.known_at = self._poll_number
         self._wake.set()
 
-    async def _order_stop(self, key: RunKey, run: int, tracked: Tracked | None) -> None:
+    async def _order_stop(self, key: RunKey, run: int, tracked: TrackedRun | None) -> None:
         if not self._listener.may_order():
             return
         if tracked is not None:
@@ -372,7 +376,7 @@
     return sent_ms is None or now_ms - sent_ms >= STOP_AGAIN_MS
 
 
-def _end(key: RunKey, tracked: Tracked, outcome: RunOutcome) -> RunEnded:
+def _end(key: RunKey, tracked: TrackedRun, outcome: RunOutcome) -> RunEnded:
     return RunEnded(key[0], key[1], tracked.run, outcome, tracked.checkpoint)
 
 
