--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
@@ -17,7 +17,7 @@
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.planning.fleet import WorkerAllocation
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
-from agateferry_jobs.support.making import ROOM
+from agateferry_jobs.support.making import WORKER_CAPACITY
 from agateferry_jobs.workers.lease import Lease
 from agateferry_jobs.workers.session import Phase, WorkerSession
 
@@ -213,7 +213,7 @@
 
     def check_room(self):
         for port in self.ports.values():
-            if len(port.running) * HALF.gpu > ROOM.gpu:
+            if len(port.running) * HALF.gpu > WORKER_CAPACITY.gpu:
                 raise BrokenError(f"more than fits: {sorted(port.running)}")
 
 
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
@@ -10,11 +10,11 @@
 from agateferry_jobs.ledger import JobState, Ledger, WorkerState, commands
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
-from agateferry_jobs.support.making import NEED
+from agateferry_jobs.support.making import SUBTASK_RESOURCES
 from agateferry_state.replica.protocols import ProposeErrorKind
 
 WHOLE = Resources(cpu=1000, mem_mb=100, gpu=8)
-JOB = JobSpec("payload", (StepSpec(1, NEED),))
+JOB = JobSpec("payload", (StepSpec(1, SUBTASK_RESOURCES),))
 ID = "5c0e7a21d94b36f8"
 
 
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
@@ -5,7 +5,7 @@
 from agateferry_jobs.ledger.durations import MIN_RUNS, DurationEstimate
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.support import job_command, start_of
-from agateferry_jobs.support.making import NEED
+from agateferry_jobs.support.making import SUBTASK_RESOURCES
 
 
 class ExpectedTests(testtools.TestCase):
@@ -41,7 +41,7 @@
         return self.ledger.apply(1, commands.encode(command))
 
     def end(self, id, outcome, checkpoint=""):
-        self.do(job_command(id, StepSpec(1, NEED, estimated_ms=1000)))
+        self.do(job_command(id, StepSpec(1, SUBTASK_RESOURCES, estimated_ms=1000)))
         start = start_of(id, "0.0.0")
         self.do(commands.StartRuns((start,), 100))
         if checkpoint:
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
@@ -3,7 +3,7 @@
 from agateferry_jobs.ledger import JobState, Ledger, Run, WorkerState, commands
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.support import job_command, manifest, start_of, worker
-from agateferry_jobs.support.making import NEED
+from agateferry_jobs.support.making import SUBTASK_RESOURCES
 
 
 class LedgerCase(testtools.TestCase):
@@ -33,7 +33,7 @@
         self.assertEqual(JobState.QUEUED, self.ledger.jobs["j"].state)
 
     def test_completes_when_all_subtasks_are_done(self):
-        self.do(job_command("j", StepSpec(2, NEED)))
+        self.do(job_command("j", StepSpec(2, SUBTASK_RESOURCES)))
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
         self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
@@ -58,7 +58,7 @@
         self.assertEqual(JobState.FAILED, self.ledger.jobs["j"].state)
 
     def test_a_cancelled_job_starts_nothing_and_stays_cancelled(self):
-        self.do(job_command("j", StepSpec(2, NEED)))
+        self.do(job_command("j", StepSpec(2, SUBTASK_RESOURCES)))
         self.start(start_of("j", "0.0.0"))
         self.do(commands.CancelJob("j", 5))
         self.assertEqual((), self.start(start_of("j", "0.0.1")))
@@ -66,7 +66,7 @@
         self.assertEqual(JobState.CANCELLED, self.ledger.jobs["j"].state)
 
     def test_subtasks_that_last_are_never_done(self):
-        self.do(job_command("j", StepSpec(1, NEED, is_long_running=True), attempts=1))
+        self.do(job_command("j", StepSpec(1, SUBTASK_RESOURCES, is_long_running=True), attempts=1))
         self.start(start_of("j", "0.0.0"))
         self.end("j", "0.0.0", commands.RunOutcome.FAILED)
         self.start(start_of("j", "0.0.0", 2))
@@ -76,7 +76,7 @@
 
 class RunTests(LedgerCase):
     def test_a_subtask_that_runs_or_is_done_is_not_started_again(self):
-        self.do(job_command("j", StepSpec(2, NEED)))
+        self.do(job_command("j", StepSpec(2, SUBTASK_RESOURCES)))
         self.assertEqual(1, len(self.start(start_of("j", "0.0.0"))))
         self.assertEqual((), self.start(start_of("j", "0.0.0", 2, "w2")))
         self.end("j", "0.0.0", commands.RunOutcome.DONE)
@@ -114,7 +114,7 @@
 class GangTests(LedgerCase):
     def setUp(self):
         super().setUp()
-        self.do(job_command("j", StepSpec(2, NEED, is_gang=True), attempts=2))
+        self.do(job_command("j", StepSpec(2, SUBTASK_RESOURCES, is_gang=True), attempts=2))
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
 
     def test_one_member_done_stands_for_all(self):
@@ -153,7 +153,7 @@
     def test_a_snapshot_holds_everything(self):
         self.do(commands.PutManifest(manifest()))
         self.do(commands.NoteWorker(worker("w1")))
-        self.do(job_command("j", StepSpec(2, NEED, is_gang=True)))
+        self.do(job_command("j", StepSpec(2, SUBTASK_RESOURCES, is_gang=True)))
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
         copy = Ledger()
         copy.restore(self.ledger.snapshot())
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
@@ -6,7 +6,7 @@
 from agateferry_jobs.planning import Fleet, Planner, WorkerHealth
 from agateferry_jobs.planning.choice import RESERVED_PATIENCE_MS
 from agateferry_jobs.support import job_command, manifest, start_of, worker
-from agateferry_jobs.support.making import NEED
+from agateferry_jobs.support.making import SUBTASK_RESOURCES
 
 PATIENT_MS = 201
 """The wait after which the least urgent work uses any worker; its slack is 1000 ms here."""
@@ -77,14 +77,18 @@
 
     def test_small_subtasks_fill_a_worker_before_they_open_another(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("j", StepSpec(6, NEED)))
+        self.do(job_command("j", StepSpec(6, SUBTASK_RESOURCES)))
         self.assertEqual(1, len(set(self.placed().values())))
 
 
 class StepTests(PlannerCase):
     def test_a_step_waits_for_those_it_depends_on(self):
         self.add(worker("w1"))
-        self.do(job_command("j", StepSpec(1, NEED), StepSpec(1, NEED, depends_on=(0,))))
+        self.do(
+            job_command(
+                "j", StepSpec(1, SUBTASK_RESOURCES), StepSpec(1, SUBTASK_RESOURCES, depends_on=(0,))
+            )
+        )
         self.assertEqual({("j", "0.0.0"): "w1"}, self.placed())
         end = commands.RunEnded("j", "0.0.0", start_of("j", "0.0.0").run, commands.RunOutcome.DONE)
         self.do(commands.EndRuns((end,), 0))
@@ -99,8 +103,12 @@
 
     def test_a_label_and_a_limit_for_each_worker_are_kept(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("j", StepSpec(3, NEED, required_label="other")))
-        self.do(job_command("k", StepSpec(3, NEED, required_label="kind", max_per_worker=1)))
+        self.do(job_command("j", StepSpec(3, SUBTASK_RESOURCES, required_label="other")))
+        self.do(
+            job_command(
+                "k", StepSpec(3, SUBTASK_RESOURCES, required_label="kind", max_per_worker=1)
+            )
+        )
         self.assertEqual({"w1", "w2"}, set(self.placed().values()))
         self.assertEqual({}, self.placed())
 
@@ -108,7 +116,9 @@
         self.add(worker("w1", rack="far"), worker("w2", rack="near"))
         self.do(job_command("big", StepSpec(1, WHOLE, required_label="near")))
         self.placed()
-        self.do(job_command("j", StepSpec(1, NEED, data_rack="near", estimated_ms=100)))
+        self.do(
+            job_command("j", StepSpec(1, SUBTASK_RESOURCES, data_rack="near", estimated_ms=100))
+        )
         self.assertEqual({}, self.placed(100))
         self.assertEqual({("j", "0.0.0"): "w1"}, self.placed(201))
 
@@ -162,14 +172,14 @@
 
     def test_it_does_not_fill_up_workers_of_others(self):
         self.add(worker("w1"), worker("w2"), worker("w3"))
-        self.do(job_command("gang", StepSpec(1, NEED), priority=1))
+        self.do(job_command("gang", StepSpec(1, SUBTASK_RESOURCES), priority=1))
         self.do(job_command("low", priority=2))
         placed = self.placed()
         self.assertNotEqual(placed[("gang", "0.0.0")], placed[("low", "0.0.0")])
 
     def test_it_shares_its_own_workers(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("low", StepSpec(4, NEED), priority=2))
+        self.do(job_command("low", StepSpec(4, SUBTASK_RESOURCES), priority=2))
         self.assertEqual(1, len(set(self.placed().values())))
 
 
@@ -201,7 +211,7 @@
         self.do(job_command("low", StepSpec(1, Resources(gpu=6)), priority=2))
         self.placed(PATIENT_MS)
         self.do(job_command("urgent", StepSpec(1, WHOLE), priority=0))
-        self.do(job_command("late", StepSpec(1, NEED), priority=2))
+        self.do(job_command("late", StepSpec(1, SUBTASK_RESOURCES), priority=2))
         plan = self.plan()
         self.assertEqual([], plan.starts)
         self.stopping = {stop.key for stop in plan.stops}
@@ -236,7 +246,7 @@
             self.do(commands.StartRuns(tuple(self.plan(at_ms + 2001).starts), at_ms))
         step = StepSpec(1, WHOLE, is_gang=True, estimated_ms=4500)
         self.do(job_command("gang", step, priority=1, at_ms=3000))
-        small = StepSpec(2, NEED, estimated_ms=60_000)
+        small = StepSpec(2, SUBTASK_RESOURCES, estimated_ms=60_000)
         self.do(job_command("small", small, priority=1, at_ms=3001))
         starts = self.plan(4000).starts
         self.assertEqual({"w2"}, {start.run.worker for start in starts})
@@ -279,7 +289,7 @@
 
     def test_promised_work_does_not_wait_long_for_its_rack(self):
         self.add(worker("a1", rack="a"), worker("b1", rack="b"))
-        step = StepSpec(1, NEED, data_rack="c", estimated_ms=60_000)
+        step = StepSpec(1, SUBTASK_RESOURCES, data_rack="c", estimated_ms=60_000)
         self.add(worker("c1", rack="c", state=WorkerState.READY), answers=True)
         full = job_command("full", StepSpec(1, WHOLE, required_label="c"), priority=0)
         self.do(msgspec.structs.replace(full, team="other"))
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
@@ -4,7 +4,7 @@
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.planning.timing import Lateness, Timing, open_occurrence
 from agateferry_jobs.support import job_command, manifest, start_of
-from agateferry_jobs.support.making import NEED
+from agateferry_jobs.support.making import SUBTASK_RESOURCES
 
 
 class TimingCase(testtools.TestCase):
@@ -37,19 +37,19 @@
 class SlackTests(TimingCase):
     def test_the_chain_follows_the_longest_dependencies(self):
         steps = (
-            StepSpec(1, NEED, estimated_ms=100),
-            StepSpec(1, NEED, estimated_ms=500),
-            StepSpec(1, NEED, estimated_ms=30, depends_on=(0,)),
+            StepSpec(1, SUBTASK_RESOURCES, estimated_ms=100),
+            StepSpec(1, SUBTASK_RESOURCES, estimated_ms=500),
+            StepSpec(1, SUBTASK_RESOURCES, estimated_ms=30, depends_on=(0,)),
         )
         self.assertEqual(500, self.timing.chain_ms(self.job_of(*steps)))
 
     def test_slack_is_what_the_objective_leaves_beside_the_work(self):
-        job = self.job_of(StepSpec(1, NEED, estimated_ms=2000))
+        job = self.job_of(StepSpec(1, SUBTASK_RESOURCES, estimated_ms=2000))
         self.assertEqual(5000, self.timing.slack_ms(job))
         self.assertEqual(0, Timing(Ledger()).slack_ms(job))
 
     def test_a_job_is_in_time_then_late_then_hopeless(self):
-        job = self.job_of(StepSpec(1, NEED, estimated_ms=2000))
+        job = self.job_of(StepSpec(1, SUBTASK_RESOURCES, estimated_ms=2000))
         for waited, expected in (
             (5000, Lateness.IN_TIME),
             (5001, Lateness.LATE),
@@ -63,17 +63,17 @@
         after a few seconds, went behind all others and were never started."""
         for number, declared_ms in enumerate((1000, 3000, 14_000, 800, 2500)):
             id = f"done{number}"
-            self.job_of(StepSpec(1, NEED, estimated_ms=declared_ms), id=id)
+            self.job_of(StepSpec(1, SUBTASK_RESOURCES, estimated_ms=declared_ms), id=id)
             self.finish(id, 8000)
-        job = self.job_of(StepSpec(1, NEED, estimated_ms=2000))
+        job = self.job_of(StepSpec(1, SUBTASK_RESOURCES, estimated_ms=2000))
         self.assertTrue(7000 < self.timing.length_ms(job, 0) < 8000, self.timing.length_ms(job, 0))
         self.assertIs(Lateness.IN_TIME, self.timing.lateness(job, 12_000))
 
 
 class WaitTests(TimingCase):
     def test_what_a_job_has_done_is_no_wait(self):
-        first = StepSpec(1, NEED, estimated_ms=1000)
-        job = self.job_of(first, StepSpec(1, NEED, estimated_ms=1000, depends_on=(0,)))
+        first = StepSpec(1, SUBTASK_RESOURCES, estimated_ms=1000)
+        job = self.job_of(first, StepSpec(1, SUBTASK_RESOURCES, estimated_ms=1000, depends_on=(0,)))
         self.assertEqual(1500, self.timing.waited_ms(job, 0, 1500))
         job.subtasks["0.0.0"].is_done = True
         self.assertEqual(500, self.timing.waited_ms(job, 0, 1500))
--- a/packages/agateferry-jobs/agateferry_jobs/settings.py
+++ b/packages/agateferry-jobs/agateferry_jobs/settings.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class TimeLimits:
     """Times in ms: from a stop's signal to the kill, and the longest lease of a worker."""
 
     grace_ms: int = 6000
@@ -32,7 +32,7 @@
     readiness: str | None
     control: str | None
     metrics_port: int
-    bounds: Bounds = Bounds()
+    bounds: TimeLimits = TimeLimits()
 
     @property
     def internal_address(self) -> str:
--- a/packages/agateferry-jobs/agateferry_jobs/support/making.py
+++ b/packages/agateferry-jobs/agateferry_jobs/support/making.py
@@ -4,8 +4,8 @@
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.manifest import Manifest, Queue, Service, Team
 
-NEED = Resources(cpu=1000, mem_mb=100, gpu=1)
-ROOM = Resources(cpu=16_000, mem_mb=10_000, gpu=8)
+SUBTASK_RESOURCES = Resources(cpu=1000, mem_mb=100, gpu=1)
+WORKER_CAPACITY = Resources(cpu=16_000, mem_mb=10_000, gpu=8)
 
 
 def worker(
@@ -13,7 +13,15 @@
 ) -> WorkerIncarnation:
     """Return a life of a worker with eight accelerators."""
     return WorkerIncarnation(
-        id, born, "pool", f"{id}:80", "zone-a", ROOM, ("kind", rack), slots=8, state=state
+        id,
+        born,
+        "pool",
+        f"{id}:80",
+        "zone-a",
+        WORKER_CAPACITY,
+        ("kind", rack),
+        slots=8,
+        state=state,
     )
 
 
@@ -21,7 +29,7 @@
     id: str, *steps: StepSpec, priority: int = 1, attempts: int = 2, at_ms: int = 0, **when: int
 ) -> commands.AcceptJob:
     """Return the command that stores a job; without steps it has one of one subtask."""
-    spec = JobSpec("payload", steps or (StepSpec(1, NEED),), **when)
+    spec = JobSpec("payload", steps or (StepSpec(1, SUBTASK_RESOURCES),), **when)
     return commands.AcceptJob(id, "queue", "pool", "team", priority, attempts, at_ms, spec)
 
 
