--- a/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
@@ -9,17 +9,16 @@
 from agateferry_core.clock import MS_PER_S, Clock
 from agateferry_core.logs import EventLogger
 from agateferry_jobs import metrics
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import messages
 from agateferry_jobs.cell import events
 from agateferry_jobs.cell.callers import Callers
-from agateferry_jobs.cell.doubts import Doubts
 from agateferry_jobs.cell.proposing import Proposer
-from agateferry_jobs.cell.roster import Roster
-from agateferry_jobs.ledger import Ledger, Run
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.cell.suspects import SuspectWorkers
+from agateferry_jobs.cell.worker_registry import WorkerRegistry
+from agateferry_jobs.ledger import Ledger, Run, commands
 from agateferry_jobs.planning import Fleet, Plan, Planner
 from agateferry_jobs.planning.fleet import RunKey
-from agateferry_jobs.workers.session import Phase, PortFactory, Tracked
+from agateferry_jobs.workers.session import Phase, PortFactory, TrackedRun
 from agateferry_state.replica.protocols import Replica
 
 TICK_MS = 250
@@ -41,9 +40,9 @@
         self._clock = clock
         self._log = EventLogger()
         self._proposer = Proposer(replica)
-        self._doubts = Doubts()
-        self._roster = Roster(ledger, clock, make_port, lease_ms, self, self._proposer)
-        self._callers = Callers(ledger, self._proposer, self.on_change)
+        self._suspects = SuspectWorkers()
+        self._registry = WorkerRegistry(ledger, clock, make_port, lease_ms, self, self._proposer)
+        self._callers = Callers(ledger, self._proposer, self.request_planning)
         self._wall_offset_ms = 0
         self._tokens = 0
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -58,41 +57,41 @@
         """Return the time of day in ms, by an offset that stays the same while this host leads."""
         return self._clock.now_ms() + self._wall_offset_ms
 
-    async def handle(self, ask: m.Ask) -> m.Reply:
+    async def handle(self, call: messages.Call) -> messages.Reply:
         """Answer one call; nothing is answered on knowledge that may be out of date."""
         if not self._replica.is_leader:
-            return m.NotLeader(self._replica.leader)
-        reply = await self._answer(ask)
-        if not self._replica.is_leader and not isinstance(reply, m.Uncertain):
-            reply = m.Uncertain("leadership lapsed before the answer")
-        metrics.REPLIES.labels(type(ask).__name__, type(reply).__name__).inc()
-        if isinstance(reply, m.Refused):
+            return messages.NotLeader(self._replica.leader)
+        reply = await self._answer(call)
+        if not self._replica.is_leader and not isinstance(reply, messages.OutcomeUnknown):
+            reply = messages.OutcomeUnknown("leadership lapsed before the answer")
+        metrics.REPLIES.labels(call.label, reply.label).inc()
+        if isinstance(reply, messages.Refused):
             metrics.REFUSALS.labels(reply.reason).inc()
         return reply
 
     async def close(self) -> None:
         """Stop leading."""
         self._stop()
-        await self._roster.clear()
-
-    async def _answer(self, ask: m.Ask) -> m.Reply:
-        match ask:
-            case m.Submit():
-                return await self._callers.submit(ask, self.now_ms)
-            case m.Look():
-                return self._callers.look(ask)
-            case m.Cancel():
-                return await self._callers.cancel(ask, self.now_ms)
-            case m.Beat():
-                return await self._roster.on_beat(ask)
-            case m.Leave(worker):
-                return await self._roster.on_leave(worker)
-            case m.Install(manifest):
+        await self._registry.clear()
+
+    async def _answer(self, call: messages.Call) -> messages.Reply:
+        match call:
+            case messages.Submit():
+                return await self._callers.submit(call, self.now_ms)
+            case messages.GetStatus():
+                return self._callers.get_status(call)
+            case messages.Cancel():
+                return await self._callers.cancel(call, self.now_ms)
+            case messages.Heartbeat():
+                return await self._registry.on_heartbeat(call)
+            case messages.Deregister(worker):
+                return await self._registry.on_deregister(worker)
+            case messages.InstallManifest(manifest):
                 return await self._callers.install(manifest)
-            case m.ReadManifest():
+            case messages.ReadManifest():
                 return self._callers.read_manifest()
-            case m.Ping():
-                return m.Done()
+            case messages.Ping():
+                return messages.Done()
 
     def next_token(self) -> int:
         """Return a fencing token above all that this or an earlier leader gave out."""
@@ -103,20 +102,20 @@
         """Tell whether orders may go out now."""
         return self._replica.is_leader
 
-    async def store_ends(self, ends: tuple[c.RunEnded, ...]) -> bool:
+    async def store_ends(self, ends: tuple[commands.RunEnded, ...]) -> bool:
         """Store how runs ended and plan anew."""
         at_ms = self.now_ms
-        outcome = await self._proposer.propose(c.EndRuns(ends, at_ms))
+        outcome = await self._proposer.propose(commands.EndRuns(ends, at_ms))
         if outcome.is_error():
             return False
         for end in outcome.ok:
             self._note_end(end)
         for id in {end.job for end in outcome.ok}:
             self._note_job_over(id, at_ms)
-        self.on_change()
+        self.request_planning()
         return True
 
-    def on_change(self) -> None:
+    def request_planning(self) -> None:
         """Plan soon."""
         self._is_plan_due = True
         if not self._has_planner and self._ticker is not None:
@@ -127,14 +126,14 @@
         if not leads:
             self._log.info(events.NOT_LEADING, term=term)
             self._stop()
-            self.spawn(self._roster.clear())
+            self.spawn(self._registry.clear())
             return
         self._log.info(events.LEADING, term=term, jobs=len(self._ledger.jobs))
         self._tokens = 0
         self._wall_offset_ms = self._clock.wall_ms() - self._clock.now_ms()
-        self._roster.fill()
+        self._registry.fill()
         self._ticker = asyncio.get_running_loop().create_task(self._tick())
-        self.on_change()
+        self.request_planning()
 
     def _stop(self) -> None:
         if self._ticker is not None:
@@ -158,9 +157,9 @@
             if not self._replica.is_leader:
                 continue
             if not self._is_planning:
-                await self._roster.settle()
+                await self._registry.settle()
             self._stop_hung()
-            self.on_change()
+            self.request_planning()
 
     async def _plan_all(self) -> None:
         """Plan while something changed, with rests, so that many changes share one plan."""
@@ -181,7 +180,7 @@
     def _make_plan(self) -> Plan:
         self._stop_unwanted()
         fleet = Fleet.of(
-            self._ledger, self._roster.health(self._is_suspect), self._roster.stopping()
+            self._ledger, self._registry.health(self._is_suspect), self._registry.stopping()
         )
         return Planner(self._ledger, fleet, self.now_ms).plan()
 
@@ -191,7 +190,7 @@
         if not plan.starts:
             return
         outcome: Result[Any, Any] = await self._proposer.propose(
-            c.StartRuns(tuple(plan.starts), self.now_ms)
+            commands.StartRuns(tuple(plan.starts), self.now_ms)
         )
         if outcome.is_error() or not self._replica.is_leader:
             return
@@ -205,9 +204,9 @@
             )
             job = self._ledger.jobs.get(start.job)
             self._note_first_start(start)
-            self._roster.start(start, job.spec.payload if job is not None else "")
+            self._registry.start(start, job.spec.payload if job is not None else "")
 
-    def _note_first_start(self, start: c.RunStart) -> None:
+    def _note_first_start(self, start: commands.RunStart) -> None:
         job = self._ledger.jobs.get(start.job)
         if job is not None and start.subtask == "0.0.0" and start.run.number == 1:
             waited_s = (self.now_ms - job.accepted_ms) / MS_PER_S
@@ -226,23 +225,23 @@
 
     def _stop_hung(self) -> None:
         now_ms = self._clock.now_ms()
-        for session in self._roster.sessions.values():
+        for session in self._registry.sessions.values():
             if not session.health(False).answers:
                 continue
             for key, tracked in list(session.runs.items()):
-                if not _is_hung(tracked, now_ms) or self._lasts(key):
+                if not _is_hung(tracked, now_ms) or self._is_long_running(key):
                     continue
                 run = tracked.run
-                if self._doubts.note_failed(run.worker, run.born, key[0], now_ms, weight=2):
+                if self._suspects.note_failed(run.worker, run.born, key[0], now_ms, weight=2):
                     self._log.warning(events.WORKER_SUSPECT, worker=run.worker, reason="hung run")
                 self._stop_run(key, run, "no progress")
 
-    def _lasts(self, key: RunKey) -> bool:
+    def _is_long_running(self, key: RunKey) -> bool:
         job = self._ledger.jobs.get(key[0])
-        return job is None or job.step_of(key[1]).lasts
+        return job is None or job.step_of(key[1]).is_long_running
 
     def _stop_run(self, key: RunKey, run: Run, reason: str, **inputs: str | int) -> None:
-        if self._roster.stop(key, run):
+        if self._registry.stop(key, run):
             metrics.RUNS_STOPPED.labels(reason).inc()
             self._log.info(
                 events.RUN_STOPPING,
@@ -254,9 +253,9 @@
             )
 
     def _is_suspect(self, worker: str, born: int) -> bool:
-        return self._doubts.is_suspect(worker, born, self._clock.now_ms())
+        return self._suspects.is_suspect(worker, born, self._clock.now_ms())
 
-    def _note_end(self, end: c.RunEnded) -> None:
+    def _note_end(self, end: commands.RunEnded) -> None:
         run = end.run
         self._log.info(
             events.RUN_ENDED,
@@ -264,14 +263,14 @@
             subtask=end.subtask,
             run=run.number,
             worker=run.worker,
-            how=end.how,
+            how=end.outcome,
         )
-        metrics.RUNS_ENDED.labels(end.how.value).inc()
-        if end.how is c.RunEnd.DONE:
-            self._doubts.note_done(run.worker, run.born)
-        elif end.how is c.RunEnd.FAILED:
+        metrics.RUNS_ENDED.labels(end.outcome.value).inc()
+        if end.outcome is commands.RunOutcome.DONE:
+            self._suspects.note_done(run.worker, run.born)
+        elif end.outcome is commands.RunOutcome.FAILED:
             now_ms = self._clock.now_ms()
-            if self._doubts.note_failed(run.worker, run.born, end.job, now_ms):
+            if self._suspects.note_failed(run.worker, run.born, end.job, now_ms):
                 self._log.warning(events.WORKER_SUSPECT, worker=run.worker, reason="failed runs")
 
     def _note_job_over(self, id: str, at_ms: int) -> None:
@@ -282,6 +281,6 @@
             self._log.info(events.JOB_ENDED, job=job.id, state=job.state)
 
 
-def _is_hung(tracked: Tracked, now_ms: int) -> bool:
+def _is_hung(tracked: TrackedRun, now_ms: int) -> bool:
     is_at_work = tracked.phase is Phase.CONFIRMED and not tracked.is_stopping
     return is_at_work and tracked.percent < 100 and now_ms - tracked.moved_ms > HUNG_MS
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
@@ -11,13 +11,13 @@
 import testtools
 
 from agateferry_core.support import run_virtual
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import messages
 from agateferry_jobs.cell.leader import Leader
 from agateferry_jobs.ledger import Ledger
-from agateferry_jobs.ledger.specs import Amount, JobSpec, StepSpec
-from agateferry_jobs.planning.fleet import Seat
+from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
+from agateferry_jobs.planning.fleet import WorkerAllocation
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
-from agateferry_jobs.support.making import ROOM
+from agateferry_jobs.support.making import WORKER_CAPACITY
 from agateferry_jobs.workers.lease import Lease
 from agateferry_jobs.workers.session import Phase, WorkerSession
 
@@ -27,7 +27,7 @@
 BEAT_TICKS = 75
 PROGRESS = 0.1
 SETTLE_S = 90
-HALF = Amount(cpu=1000, mem_mb=100, gpu=4)
+HALF = Resources(cpu=1000, mem_mb=100, gpu=4)
 SINGLE = JobSpec("payload", (StepSpec(2, HALF),))
 GANG = JobSpec("payload", (StepSpec(3, HALF, is_gang=True),))
 LEASE_MS = 3000
@@ -44,8 +44,8 @@
         self.clock = loop
         self.rng = random.Random(seed)
         self.ledger = Ledger()
-        self.lives = {f"w{number}": worker(f"w{number}") for number in range(3)}
-        self.ports = {id: self.new_port(1) for id in self.lives}
+        self.incarnations = {f"w{number}": worker(f"w{number}") for number in range(3)}
+        self.ports = {id: self.new_port(1) for id in self.incarnations}
         self.orders = []
         self.started_done = None
         self.ids = [f"{number:016x}" for number in range(8)]
@@ -71,16 +71,16 @@
         job = self.ledger.jobs.get(key[0])
         return job is not None and key[1] in job.subtasks and job.subtasks[key[1]].is_done
 
-    def port_to(self, life):
-        port = self.ports[life.id]
-        if port.born != life.born:
-            port = self.new_port(life.born)
+    def port_to(self, incarnation):
+        port = self.ports[incarnation.id]
+        if port.born != incarnation.born:
+            port = self.new_port(incarnation.born)
             port.is_other = True
         return port
 
     async def play(self):
         self.replica.lead()
-        await self.leader.handle(m.Install(manifest()))
+        await self.leader.handle(messages.InstallManifest(manifest()))
         ticking = asyncio.create_task(self.tick_for_ever())
         try:
             for step in range(STEPS):
@@ -112,8 +112,8 @@
         )
 
     async def submit(self, id):
-        place = m.Place("host", f"/jobs/{id}", "key")
-        await self.leader.handle(m.Submit(place, self.rng.choice((SINGLE, GANG))))
+        target = messages.CallTarget("host", f"/jobs/{id}", "key")
+        await self.leader.handle(messages.Submit(target, self.rng.choice((SINGLE, GANG))))
 
     def any_port(self):
         return self.ports[self.rng.choice(sorted(self.ports))]
@@ -121,9 +121,9 @@
     async def end_a_run(self):
         port = self.any_port()
         if port.running:
-            how = self.rng.choice(("done", "done", "failed"))
+            outcome = self.rng.choice(("done", "done", "failed"))
             key = self.rng.choice(sorted(port.running))
-            port.end(key, how if how == "failed" or self.is_whole(key[0]) else "alone")
+            port.end(key, outcome if outcome == "failed" or self.is_whole(key[0]) else "alone")
 
     def is_whole(self, job):
         """Tell whether all members of a gang are at work; before that none can be done."""
@@ -161,9 +161,9 @@
         old = self.ports[id]
         old.is_other = True
         old.running.clear()
-        self.lives[id] = worker(id, born=old.born + 1)
+        self.incarnations[id] = worker(id, born=old.born + 1)
         self.ports[id] = self.new_port(old.born + 1)
-        await self.leader.handle(m.Beat(self.lives[id], 1))
+        await self.leader.handle(messages.Heartbeat(self.incarnations[id], 1))
 
     async def change_leader(self):
         self.replica.lead(False)
@@ -189,13 +189,15 @@
                 port.percent = (port.percent + PROGRESS) % 99
             self.check()
             if tick % BEAT_TICKS == 0:
-                await self.beat()
+                await self.heartbeat()
             await asyncio.sleep(TICK_S)
 
-    async def beat(self):
+    async def heartbeat(self):
         for id, port in self.ports.items():
             if not port.is_cut and self.replica.is_leader:
-                await self.leader.handle(m.Beat(self.lives[id], self.clock.now_ms()))
+                await self.leader.handle(
+                    messages.Heartbeat(self.incarnations[id], self.clock.now_ms())
+                )
 
     def check(self):
         self.check_once()
@@ -211,7 +213,7 @@
 
     def check_room(self):
         for port in self.ports.values():
-            if len(port.running) * HALF.gpu > ROOM.gpu:
+            if len(port.running) * HALF.gpu > WORKER_CAPACITY.gpu:
                 raise BrokenError(f"more than fits: {sorted(port.running)}")
 
 
@@ -247,15 +249,15 @@
         self.assert_found(Lease, "is_over", lambda lease, now_ms: True)
 
     def test_an_order_without_an_answer_that_is_not_fenced_off(self):
-        def doubt(session, tracked):
+        def mark_uncertain(session, tracked):
             tracked.phase = Phase.UNCERTAIN
-            tracked.known_at = session._look
+            tracked.known_at = session._poll_number
             session._wake.set()
 
-        self.assert_found(WorkerSession, "_doubt", doubt)
+        self.assert_found(WorkerSession, "_mark_uncertain", mark_uncertain)
 
     def test_room_of_runs_that_are_being_stopped_or_started_does_not_count(self):
-        def take(seat, job, subtask):
-            seat.free_slots -= 1
+        def allocate(worker, job, subtask):
+            worker.free_slots -= 1
 
-        self.assert_found(Seat, "take", take)
+        self.assert_found(WorkerAllocation, "allocate", allocate)
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
@@ -5,22 +5,21 @@
 
 from agateferry_core.clock import SystemClock
 from agateferry_core.support import run_async
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import messages
 from agateferry_jobs.cell.leader import HUNG_MS, PLAN_REST, Leader
-from agateferry_jobs.ledger import JobState, Ledger, WorkerState
-from agateferry_jobs.ledger import commands as c
-from agateferry_jobs.ledger.specs import Amount, JobSpec, StepSpec
+from agateferry_jobs.ledger import JobState, Ledger, WorkerState, commands
+from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
-from agateferry_jobs.support.making import NEED
+from agateferry_jobs.support.making import SUBTASK_RESOURCES
 from agateferry_state.replica.protocols import ProposeErrorKind
 
-WHOLE = Amount(cpu=1000, mem_mb=100, gpu=8)
-JOB = JobSpec("payload", (StepSpec(1, NEED),))
+WHOLE = Resources(cpu=1000, mem_mb=100, gpu=8)
+JOB = JobSpec("payload", (StepSpec(1, SUBTASK_RESOURCES),))
 ID = "5c0e7a21d94b36f8"
 
 
-def place(path=ID, key="key", host="host"):
-    return m.Place(host, f"/jobs/{path}", key)
+def target(path=ID, key="key", host="host"):
+    return messages.CallTarget(host, f"/jobs/{path}", key)
 
 
 class LeaderCase(testtools.TestCase):
@@ -32,7 +31,7 @@
             self.replica = MemoryReplica(self.ledger)
             self.leader = Leader(self.replica, self.ledger, self.clock, self.port_to, lease_ms)
             self.replica.lead()
-            await self.ask(m.Install(manifest()))
+            await self.call(messages.InstallManifest(manifest()))
             try:
                 await scenario()
             finally:
@@ -40,17 +39,17 @@
 
         run_async(main())
 
-    def port_to(self, life):
-        known = self.ports.get(life.id)
-        if known is None or known.born != life.born:
-            known = self.ports[life.id] = ModelWorker(self.clock, life.born)
+    def port_to(self, incarnation):
+        known = self.ports.get(incarnation.id)
+        if known is None or known.born != incarnation.born:
+            known = self.ports[incarnation.id] = ModelWorker(self.clock, incarnation.born)
         return known
 
-    async def ask(self, ask):
-        return await self.leader.handle(ask)
+    async def call(self, call):
+        return await self.leader.handle(call)
 
-    async def beat(self, life, sequence=1):
-        return await self.ask(m.Beat(life, sequence))
+    async def heartbeat(self, incarnation, sequence=1):
+        return await self.call(messages.Heartbeat(incarnation, sequence))
 
     async def until(self, condition, what):
         for _ in range(600):
@@ -63,40 +62,50 @@
         await self.until(lambda: len(self.ports[id].running) == count, f"{count} runs on {id}")
 
     async def state(self):
-        return (await self.ask(m.Look(place()))).state
+        return (await self.call(messages.GetStatus(target()))).state
 
 
 class CallTests(LeaderCase):
     def test_a_job_runs_to_its_end(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            self.assertEqual(m.Done(), await self.ask(m.Submit(place(), JOB)))
+            await self.heartbeat(worker("w1"))
+            self.assertEqual(messages.Done(), await self.call(messages.Submit(target(), JOB)))
             await self.running_on("w1")
             self.assertEqual(JobState.RUNNING, await self.state())
             self.ports["w1"].end((ID, "0.0.0"), "done")
             await self.until(lambda: self.ledger.jobs[ID].is_completed, "completed")
             self.assertEqual(JobState.COMPLETED, await self.state())
-            self.assertEqual(m.Done(), await self.ask(m.Submit(place(), JOB)))
+            self.assertEqual(messages.Done(), await self.call(messages.Submit(target(), JOB)))
 
         self.check(scenario)
 
     def test_calls_are_refused_as_the_manifest_in_force_says(self):
         async def scenario():
-            self.assertEqual(m.NoQueue(), await self.ask(m.Look(place(host="other"))))
-            self.assertEqual(m.BadKey(), await self.ask(m.Look(place(key="old"))))
-            self.assertEqual(m.NoJob(), await self.ask(m.Look(place())))
-            self.assertEqual(m.NoJob(), await self.ask(m.Cancel(place())))
-            self.assertIsInstance(await self.ask(m.Submit(place(), None, "flaw")), m.Invalid)
+            self.assertEqual(
+                messages.UnknownQueue(), await self.call(messages.GetStatus(target(host="other")))
+            )
+            self.assertEqual(
+                messages.InvalidApiKey(), await self.call(messages.GetStatus(target(key="old")))
+            )
+            self.assertEqual(messages.UnknownJob(), await self.call(messages.GetStatus(target())))
+            self.assertEqual(messages.UnknownJob(), await self.call(messages.Cancel(target())))
+            self.assertIsInstance(
+                await self.call(messages.Submit(target(), None, "flaw")), messages.Invalid
+            )
 
         self.check(scenario)
 
     def test_a_queue_counts_what_has_not_begun(self):
         async def scenario():
-            await self.ask(m.Submit(place(), JOB))
-            self.assertEqual(m.Counted(1), await self.ask(m.Look(place(""))))
-            await self.beat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
+            self.assertEqual(
+                messages.QueueDepth(1), await self.call(messages.GetStatus(target("")))
+            )
+            await self.heartbeat(worker("w1"))
             await self.running_on("w1")
-            self.assertEqual(m.Counted(0), await self.ask(m.Look(place(""))))
+            self.assertEqual(
+                messages.QueueDepth(0), await self.call(messages.GetStatus(target("")))
+            )
 
         self.check(scenario)
 
@@ -104,7 +113,9 @@
         async def scenario():
             self.replica.is_leader = False
             self.replica.leader = "there"
-            self.assertEqual(m.NotLeader("there"), await self.ask(m.Look(place())))
+            self.assertEqual(
+                messages.NotLeader("there"), await self.call(messages.GetStatus(target()))
+            )
             self.replica.is_leader = True
 
         self.check(scenario)
@@ -112,9 +123,11 @@
     def test_a_job_whose_fate_is_unknown_is_neither_accepted_nor_refused(self):
         async def scenario():
             self.replica.fate = lambda _: ProposeErrorKind.UNKNOWN
-            self.assertIsInstance(await self.ask(m.Submit(place(), JOB)), m.Uncertain)
+            self.assertIsInstance(
+                await self.call(messages.Submit(target(), JOB)), messages.OutcomeUnknown
+            )
             self.replica.fate = lambda _: None
-            self.assertEqual(m.Done(), await self.ask(m.Submit(place(), JOB)))
+            self.assertEqual(messages.Done(), await self.call(messages.Submit(target(), JOB)))
 
         self.check(scenario)
 
@@ -122,10 +135,12 @@
 class RunTests(LeaderCase):
     def test_no_order_goes_out_before_its_intent_is_stored(self):
         async def scenario():
-            is_start = lambda data: isinstance(c.decode(data), c.StartRuns)  # noqa: E731
+            is_start = lambda data: isinstance(  # noqa: E731
+                commands.decode(data), commands.StartRuns
+            )
             self.replica.fate = lambda data: ProposeErrorKind.NOT_LEADER if is_start(data) else None
-            await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await asyncio.sleep(0.5)
             self.assertEqual([], self.ports["w1"].starts)
             self.replica.fate = lambda _: None
@@ -135,10 +150,12 @@
 
     def test_a_start_that_is_stored_without_a_clear_outcome_runs_in_the_end(self):
         async def scenario():
-            is_start = lambda data: isinstance(c.decode(data), c.StartRuns)  # noqa: E731
+            is_start = lambda data: isinstance(  # noqa: E731
+                commands.decode(data), commands.StartRuns
+            )
             self.replica.fate = lambda data: ProposeErrorKind.UNKNOWN if is_start(data) else None
-            await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await self.until(lambda: self.ledger.jobs[ID].has_started, "stored")
             self.replica.fate = lambda _: None
             await self.running_on("w1")
@@ -147,10 +164,10 @@
 
     def test_a_cancelled_job_is_stopped(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await self.running_on("w1")
-            await self.ask(m.Cancel(place()))
+            await self.call(messages.Cancel(target()))
             await self.running_on("w1", 0)
             self.assertEqual(JobState.CANCELLED, await self.state())
 
@@ -158,8 +175,8 @@
 
     def test_a_new_leader_takes_over_what_runs(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await self.running_on("w1")
             self.replica.lead(False)
             self.replica.lead()
@@ -173,8 +190,8 @@
 class WorkerTests(LeaderCase):
     def test_a_draining_worker_gets_nothing_once_that_is_acknowledged(self):
         async def scenario():
-            await self.beat(worker("w1", state=WorkerState.DRAINING))
-            await self.ask(m.Submit(place(), JOB))
+            await self.heartbeat(worker("w1", state=WorkerState.DRAINING))
+            await self.call(messages.Submit(target(), JOB))
             await asyncio.sleep(0.4)
             self.assertEqual([], self.ports["w1"].starts)
 
@@ -182,23 +199,23 @@
 
     def test_work_of_a_life_that_is_over_runs_elsewhere_at_once(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await self.running_on("w1")
-            await self.beat(worker("w2"))
-            await self.beat(worker("w1", born=2, state=WorkerState.DRAINING))
+            await self.heartbeat(worker("w2"))
+            await self.heartbeat(worker("w1", born=2, state=WorkerState.DRAINING))
             await self.running_on("w2")
 
         self.check(scenario)
 
     def test_work_of_a_silent_worker_runs_elsewhere_only_after_its_lease(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            await self.ask(m.Submit(place(), JOB))
+            await self.heartbeat(worker("w1"))
+            await self.call(messages.Submit(target(), JOB))
             await self.running_on("w1")
             silent = self.ports["w1"]
             silent.is_cut = True
-            await self.beat(worker("w2"))
+            await self.heartbeat(worker("w2"))
             await self.running_on("w2")
             self.assertGreaterEqual(self.clock.now_ms(), silent.deadline_ms)
 
@@ -208,16 +225,16 @@
 class GangTests(LeaderCase):
     def test_members_of_a_gang_that_did_not_start_whole_are_stopped_at_once(self):
         async def scenario():
-            await self.beat(worker("w1"))
-            await self.beat(worker("w2"))
+            await self.heartbeat(worker("w1"))
+            await self.heartbeat(worker("w2"))
             step = StepSpec(2, WHOLE, is_gang=True)
             await self.until(lambda: len(self.ports) == 2, "sessions")
             self.ports["w2"].is_full = True
-            await self.ask(m.Submit(place(), JobSpec("payload", (step,))))
+            await self.call(messages.Submit(target(), JobSpec("payload", (step,))))
             await self.until(lambda: self.ports["w1"].starts, "one member")
             async with asyncio.timeout(HUNG_MS / 2 / 1000):
                 await self.running_on("w1", 0)
-            self.assertEqual("stopped", self.ports["w1"].how_first_ended)
+            self.assertEqual("stopped", self.ports["w1"].first_outcome)
 
         self.check(scenario)
 
@@ -240,7 +257,7 @@
             self.leader._make_plan = slow_plan
             end_ms = self.clock.now_ms() + span_s * 1000
             while self.clock.now_ms() < end_ms:
-                self.leader.on_change()
+                self.leader.request_planning()
                 await asyncio.sleep(0.002)
 
         self.check(scenario)
--- a/packages/agateferry-jobs/agateferry_jobs/cell/roster.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
@@ -5,19 +5,18 @@
 
 from agateferry_core.clock import Clock
 from agateferry_core.logs import EventLogger
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import messages
 from agateferry_jobs.cell import events
 from agateferry_jobs.cell.proposing import Proposer, reply_for
-from agateferry_jobs.ledger import Ledger, Run, WorkerLife, WorkerState
-from agateferry_jobs.ledger import commands as c
+from agateferry_jobs.ledger import Ledger, Run, WorkerIncarnation, WorkerState, commands
 from agateferry_jobs.planning import WorkerHealth
 from agateferry_jobs.planning.fleet import RunKey
 from agateferry_jobs.workers.lease import Lease, longest_local_ms
 from agateferry_jobs.workers.session import PortFactory, SessionListener, WorkerSession
 
 
-class RosterOwner(Protocol):
-    """What the roster asks of the leader."""
+class LeaderHooks(Protocol):
+    """What the worker registry asks of the leader."""
 
     def next_token(self) -> int:
         """Return a fencing token above all before."""
@@ -25,17 +24,17 @@
     def may_order(self) -> bool:
         """Tell whether orders may go out now."""
 
-    async def store_ends(self, ends: tuple[c.RunEnded, ...]) -> bool:
+    async def store_ends(self, ends: tuple[commands.RunEnded, ...]) -> bool:
         """Store ends."""
 
-    def on_change(self) -> None:
+    def request_planning(self) -> None:
         """Plan soon."""
 
     def spawn(self, coro: Coroutine[Any, Any, Any]) -> None:
         """Run a task that is watched."""
 
 
-class Roster(SessionListener):
+class WorkerRegistry(SessionListener):
     """Open a session for each life that the ledger holds, and close it when the life is over."""
 
     def __init__(
@@ -44,7 +43,7 @@
         clock: Clock,
         make_port: PortFactory,
         lease_ms: int,
-        owner: RosterOwner,
+        hooks: LeaderHooks,
         proposer: Proposer,
     ) -> None:
         self.sessions: dict[str, WorkerSession] = {}
@@ -52,7 +51,7 @@
         self._clock = clock
         self._make_port = make_port
         self._lease_ms = lease_ms
-        self._owner = owner
+        self._hooks = hooks
         self._proposer = proposer
         self._sequences: dict[tuple[str, int], int] = {}
         self._log = EventLogger()
@@ -60,11 +59,11 @@
     def fill(self) -> None:
         """Open the sessions of all lives in the ledger and adopt what may run there."""
         unknown_until_ms = self._clock.now_ms() + longest_local_ms(self._lease_ms)
-        for life in self._ledger.workers.values():
-            self._open(life, unknown_until_ms)
+        for incarnation in self._ledger.workers.values():
+            self._open(incarnation, unknown_until_ms)
         lost = self._adopt_all()
         if lost:
-            self._owner.spawn(self._lose(lost))
+            self._hooks.spawn(self._lose(lost))
 
     async def clear(self) -> None:
         """Close all sessions."""
@@ -72,46 +71,46 @@
         for session in sessions.values():
             await session.close()
 
-    async def on_beat(self, beat: m.Beat) -> m.Reply:
+    async def on_heartbeat(self, heartbeat: messages.Heartbeat) -> messages.Reply:
         """Take in what a worker says of itself; an answer says that it is stored."""
-        life = beat.worker
-        key = (life.id, life.born)
-        if beat.sequence < self._sequences.get(key, -1):
-            return m.Done()
-        known = self._ledger.workers.get(life.id)
-        if known != life and not self._is_outdated(life):
-            outcome = await self._proposer.propose(c.NoteWorker(life))
+        incarnation = heartbeat.worker
+        key = (incarnation.id, incarnation.born)
+        if heartbeat.sequence < self._sequences.get(key, -1):
+            return messages.Done()
+        known = self._ledger.workers.get(incarnation.id)
+        if known != incarnation and not self._is_outdated(incarnation):
+            outcome = await self._proposer.propose(commands.NoteWorker(incarnation))
             if outcome.is_error():
                 return reply_for(outcome.error)
             if outcome.ok:
                 self._log.info(
                     events.WORKER_NOTED,
-                    worker=life.id,
-                    born=life.born,
-                    state=life.state,
-                    rack=life.rack,
+                    worker=incarnation.id,
+                    born=incarnation.born,
+                    state=incarnation.state,
+                    rack=incarnation.rack,
                 )
-                await self._renew(life)
-        self._sequences[key] = beat.sequence
-        session = self.sessions.get(life.id)
-        if session is not None and session.life.born == life.born:
-            session.note_beat()
-        return m.Done()
-
-    async def on_leave(self, worker: str) -> m.Reply:
+                await self._renew(incarnation)
+        self._sequences[key] = heartbeat.sequence
+        session = self.sessions.get(incarnation.id)
+        if session is not None and session.incarnation.born == incarnation.born:
+            session.record_heartbeat()
+        return messages.Done()
+
+    async def on_deregister(self, worker: str) -> messages.Reply:
         """Take in that a worker ends; what ran there is over."""
-        life = self._ledger.workers.get(worker)
-        if life is not None and not await self._remove(life):
-            return m.Uncertain("not stored")
-        return m.Done()
+        incarnation = self._ledger.workers.get(worker)
+        if incarnation is not None and not await self._remove(incarnation):
+            return messages.OutcomeUnknown("not stored")
+        return messages.Done()
 
-    def start(self, start: c.RunStart, payload: str) -> None:
+    def start(self, start: commands.RunStart, payload: str) -> None:
         """Order a run whose intent is stored."""
         session = self.sessions.get(start.run.worker)
-        if session is not None and session.life.born == start.run.born:
+        if session is not None and session.incarnation.born == start.run.born:
             session.start(start, payload)
         else:
-            self._owner.spawn(self._lose((_lost((start.job, start.subtask), start.run),)))
+            self._hooks.spawn(self._lose((_lost((start.job, start.subtask), start.run),)))
 
     def stop(self, key: RunKey, run: Run) -> bool:
         """Have a run stopped; tell whether that is news."""
@@ -134,7 +133,7 @@
     def health(self, is_suspect: Callable[[str, int], bool]) -> dict[str, WorkerHealth]:
         """Return what the planner needs to know of each worker."""
         return {
-            id: session.health(is_suspect(id, session.life.born))
+            id: session.health(is_suspect(id, session.incarnation.born))
             for id, session in self.sessions.items()
         }
 
@@ -148,80 +147,85 @@
 
     def next_token(self) -> int:
         """Return a fencing token above all before."""
-        return self._owner.next_token()
+        return self._hooks.next_token()
 
     def may_order(self) -> bool:
         """Tell whether orders may go out now."""
-        return self._owner.may_order()
+        return self._hooks.may_order()
 
-    async def store_ends(self, ends: tuple[c.RunEnded, ...]) -> bool:
+    async def store_ends(self, ends: tuple[commands.RunEnded, ...]) -> bool:
         """Store ends."""
-        return await self._owner.store_ends(ends)
+        return await self._hooks.store_ends(ends)
 
-    def on_change(self) -> None:
+    def request_planning(self) -> None:
         """Plan soon."""
-        self._owner.on_change()
+        self._hooks.request_planning()
 
-    def on_other_life(self, life: WorkerLife) -> None:
+    def on_incarnation_replaced(self, incarnation: WorkerIncarnation) -> None:
         """Conclude the runs of a life that is over; its successor makes itself known."""
-        self._owner.spawn(self._remove(life))
+        self._hooks.spawn(self._remove(incarnation))
 
-    def _is_outdated(self, life: WorkerLife) -> bool:
+    def _is_outdated(self, incarnation: WorkerIncarnation) -> bool:
         """Tell whether a younger life is known at the same address."""
         return any(
-            other.address == life.address and other.born > life.born
+            other.address == incarnation.address and other.born > incarnation.born
             for other in self._ledger.workers.values()
         )
 
-    async def _renew(self, life: WorkerLife) -> None:
+    async def _renew(self, incarnation: WorkerIncarnation) -> None:
         """Open a session for a new life and conclude the lives that it follows."""
-        session = self.sessions.get(life.id)
-        if session is not None and session.life.born == life.born:
-            session.life = life
-            self.on_change()
+        session = self.sessions.get(incarnation.id)
+        if session is not None and session.incarnation.born == incarnation.born:
+            session.incarnation = incarnation
+            self.request_planning()
             return
         if session is not None:
             await self._close(session)
         for other in list(self._ledger.workers.values()):
-            if other.address == life.address and other.born < life.born:
+            if other.address == incarnation.address and other.born < incarnation.born:
                 await self._remove(other)
-        self._open(life, unknown_until_ms=0)
-
-    async def _remove(self, life: WorkerLife) -> bool:
-        gone = WorkerLife(
-            life.id, life.born, life.service, life.address, life.zone, life.capacity,
+        self._open(incarnation, unknown_until_ms=0)
+
+    async def _remove(self, incarnation: WorkerIncarnation) -> bool:
+        gone = WorkerIncarnation(
+            incarnation.id,
+            incarnation.born,
+            incarnation.service,
+            incarnation.address,
+            incarnation.zone,
+            incarnation.capacity,
             state=WorkerState.GONE,
-        )  # fmt: skip
-        outcome = await self._proposer.propose(c.NoteWorker(gone))
+        )
+        outcome = await self._proposer.propose(commands.NoteWorker(gone))
         if outcome.is_error():
             return False
-        self._log.info(events.WORKER_GONE, worker=life.id, born=life.born)
-        session = self.sessions.get(life.id)
-        if session is not None and session.life.born == life.born:
+        self._log.info(events.WORKER_GONE, worker=incarnation.id, born=incarnation.born)
+        session = self.sessions.get(incarnation.id)
+        if session is not None and session.incarnation.born == incarnation.born:
             await self._close(session)
         return True
 
     async def _close(self, session: WorkerSession) -> None:
         ends = session.lose_all()
-        self.sessions.pop(session.life.id, None)
+        self.sessions.pop(session.incarnation.id, None)
         await session.close()
         await self._lose(ends)
 
-    async def _lose(self, ends: tuple[c.RunEnded, ...]) -> None:
-        if not ends or not await self._owner.store_ends(ends):
+    async def _lose(self, ends: tuple[commands.RunEnded, ...]) -> None:
+        if not ends or not await self._hooks.store_ends(ends):
             return
         for end in ends:
             session = self.sessions.get(end.run.worker)
             if session is not None:
                 session.forget((end.job, end.subtask), end.run)
 
-    def _open(self, life: WorkerLife, unknown_until_ms: int) -> None:
+    def _open(self, incarnation: WorkerIncarnation, unknown_until_ms: int) -> None:
         lease = Lease(self._lease_ms, unknown_until_ms)
-        self.sessions[life.id] = WorkerSession(
-            life, self._make_port(life), self, self._clock, lease
+        self.sessions[incarnation.id] = WorkerSession(
+            incarnation, self._make_port(incarnation), self, self._clock, lease
         )
 
-    def _adopt_all(self) -> tuple[c.RunEnded, ...]:
+    def _adopt_all(self) -> tuple[commands.RunEnded, ...]:
         """Have each run of the ledger looked after; return those whose worker's life is over.
 
         A start whose storing had no clear outcome is in the ledger without ever being ordered.
@@ -233,12 +237,12 @@
                 if run is None:
                     continue
                 session = self.sessions.get(run.worker)
-                if session is None or session.life.born != run.born:
+                if session is None or session.incarnation.born != run.born:
                     lost.append(_lost((job.id, name), run))
                 else:
                     session.adopt((job.id, name), run)
         return tuple(lost)
 
 
-def _lost(key: RunKey, run: Run) -> c.RunEnded:
-    return c.RunEnded(key[0], key[1], run, c.RunEnd.LOST)
+def _lost(key: RunKey, run: Run) -> commands.RunEnded:
+    return commands.RunEnded(key[0], key[1], run, commands.RunOutcome.LOST)
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
@@ -8,29 +8,28 @@
 
 from agateferry_core.clock import SystemClock
 from agateferry_core.support import free_port, run_async
-from agateferry_jobs.calls import LeaderClient
-from agateferry_jobs.calls import messages as m
+from agateferry_jobs.calls import LeaderClient, messages
 from agateferry_jobs.daemon.cell import CellHost
 from agateferry_jobs.ledger import JobState
 from agateferry_jobs.ledger.specs import JobSpec, StepSpec
 from agateferry_jobs.settings import HostSettings
 from agateferry_jobs.support import ModelWorker, manifest
-from agateferry_jobs.support.making import NEED
+from agateferry_jobs.support.making import SUBTASK_RESOURCES
 from agateferry_state.journal import JournalError, JournalErrorKind
 
 IPS = ("127.0.0.1", "127.0.0.2", "127.0.0.3")
 LATE_IP = "127.0.0.4"
-JOB = JobSpec("payload", (StepSpec(1, NEED),))
+JOB = JobSpec("payload", (StepSpec(1, SUBTASK_RESOURCES),))
 ASK_MS = 10_000
 SEEDS = 6
 
 
 def submit(id):
-    return m.Submit(m.Place("host", f"/jobs/{id}", "key"), JOB)
+    return messages.Submit(messages.CallTarget("host", f"/jobs/{id}", "key"), JOB)
 
 
 def look(id):
-    return m.Look(m.Place("host", f"/jobs/{id}", "key"))
+    return messages.GetStatus(messages.CallTarget("host", f"/jobs/{id}", "key"))
 
 
 class CellCase(testtools.TestCase):
@@ -56,7 +55,9 @@
             control=None,
             metrics_port=0,
         )
-        return CellHost(cfg, self.clock, lambda life: ModelWorker(self.clock, life.born))
+        return CellHost(
+            cfg, self.clock, lambda incarnation: ModelWorker(self.clock, incarnation.born)
+        )
 
     async def kill(self, host):
         """End a host as a killed process ends: nothing is synced, told or handed on."""
@@ -78,7 +79,10 @@
                 stack.push_async_callback(self.client.close)
                 self.hosts = {ip: self.make(ip) for ip in IPS}
                 await asyncio.gather(*(host.start() for host in self.hosts.values()))
-                self.assertEqual(m.Done(), await self.client.ask(m.Install(manifest()), ASK_MS))
+                self.assertEqual(
+                    messages.Done(),
+                    await self.client.call(messages.InstallManifest(manifest()), ASK_MS),
+                )
                 await self.until(lambda: self.all_vote(set(IPS)), "all three vote")
                 try:
                     await scenario()
@@ -107,11 +111,11 @@
 class KillTests(CellCase):
     def test_callers_are_served_again_soon_after_the_leader_is_killed(self):
         async def scenario():
-            self.assertEqual(m.Done(), await self.client.ask(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.call(submit("a"), ASK_MS))
             leader = self.hosts["127.0.0.1"].leader_host
             await self.kill(self.hosts.pop(leader))
-            reply = await self.client.ask(look("a"), ASK_MS)
-            self.assertEqual(m.Shown(JobState.QUEUED), reply)
+            reply = await self.client.call(look("a"), ASK_MS)
+            self.assertEqual(messages.JobStatus(JobState.QUEUED), reply)
 
         self.check(scenario)
 
@@ -120,15 +124,15 @@
             rng = random.Random(7)
             accepted = []
             for seed in range(SEEDS):
-                asked = asyncio.create_task(self.client.ask(submit(f"job-{seed}"), 300))
+                asked = asyncio.create_task(self.client.call(submit(f"job-{seed}"), 300))
                 await asyncio.sleep(rng.random() * 0.03)
                 await asyncio.gather(*(self.kill(host) for host in self.hosts.values()))
-                if isinstance(await asked, m.Done):
+                if isinstance(await asked, messages.Done):
                     accepted.append(f"job-{seed}")
                 await asyncio.gather(*(self.restart(ip) for ip in IPS))
                 for id in accepted:
-                    reply = await self.client.ask(look(id), ASK_MS)
-                    self.assertEqual(m.Shown(JobState.QUEUED), reply, id)
+                    reply = await self.client.call(look(id), ASK_MS)
+                    self.assertEqual(messages.JobStatus(JobState.QUEUED), reply, id)
 
         self.check(scenario)
 
@@ -143,10 +147,10 @@
         cell had no majority, and jobs were lost."""
 
         async def scenario():
-            self.assertEqual(m.Done(), await self.client.ask(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.call(submit("a"), ASK_MS))
             for ip in IPS[:2]:
                 self.fill(self.hosts[ip])
-            self.assertEqual(m.Done(), await self.client.ask(submit("b"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.call(submit("b"), ASK_MS))
             for host in self.hosts.values():
                 await self.until(lambda host=host: {"a", "b"} <= {*host.ledger.jobs}, "both jobs")
                 self.assertIsNone(host._replica.failure)
@@ -157,7 +161,7 @@
 class ReplaceTests(CellCase):
     def test_an_empty_host_at_a_new_address_takes_the_place_of_one_that_is_gone(self):
         async def scenario():
-            self.assertEqual(m.Done(), await self.client.ask(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.call(submit("a"), ASK_MS))
             leader = self.hosts["127.0.0.1"].leader_host
             gone = next(ip for ip in IPS if ip != leader)
             await self.kill(self.hosts.pop(gone))
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
@@ -1,17 +1,16 @@
 import msgspec
 import testtools
 
-from agateferry_jobs.ledger import Ledger, WorkerState
-from agateferry_jobs.ledger import commands as c
-from agateferry_jobs.ledger.specs import Amount, StepSpec
+from agateferry_jobs.ledger import Ledger, WorkerState, commands
+from agateferry_jobs.ledger.specs import Resources, StepSpec
 from agateferry_jobs.planning import Fleet, Planner, WorkerHealth
 from agateferry_jobs.planning.choice import RESERVED_PATIENCE_MS
 from agateferry_jobs.support import job_command, manifest, start_of, worker
-from agateferry_jobs.support.making import NEED
+from agateferry_jobs.support.making import SUBTASK_RESOURCES
 
 PATIENT_MS = 201
 """The wait after which the least urgent work uses any worker; its slack is 1000 ms here."""
-WHOLE = Amount(cpu=1000, mem_mb=100, gpu=8)
+WHOLE = Resources(cpu=1000, mem_mb=100, gpu=8)
 HOPELESS_MS = 23_000
 """The wait after which 2.5 s of work reach nothing: three times 8.5 s, less the work itself."""
 
@@ -22,15 +21,15 @@
         self.ledger = Ledger()
         self.health = {}
         self.stopping = set()
-        self.do(c.PutManifest(manifest()))
+        self.do(commands.PutManifest(manifest()))
 
     def do(self, command):
-        return self.ledger.apply(1, c.encode(command))
+        return self.ledger.apply(1, commands.encode(command))
 
-    def add(self, *lives, **health):
-        for life in lives:
-            self.do(c.NoteWorker(life))
-            self.health[life.id] = WorkerHealth(**health)
+    def add(self, *incarnations, **health):
+        for incarnation in incarnations:
+            self.do(commands.NoteWorker(incarnation))
+            self.health[incarnation.id] = WorkerHealth(**health)
 
     def plan(self, now_ms=0):
         fleet = Fleet.of(self.ledger, self.health, self.stopping)
@@ -39,14 +38,14 @@
     def placed(self, now_ms=0):
         """Return where each subtask goes, and store the starts."""
         starts = self.plan(now_ms).starts
-        self.do(c.StartRuns(tuple(starts)))
+        self.do(commands.StartRuns(tuple(starts)))
         return {(s.job, s.subtask): s.run.worker for s in starts}
 
 
 class RoomTests(PlannerCase):
     def test_no_worker_gets_more_than_it_has(self):
         self.add(worker("w1"))
-        self.do(job_command("j", StepSpec(3, Amount(gpu=4))))
+        self.do(job_command("j", StepSpec(3, Resources(gpu=4))))
         self.assertEqual(2, len(self.placed()))
         self.assertEqual({}, self.placed())
 
@@ -54,7 +53,7 @@
         self.add(worker("w1"))
         self.do(job_command("j", StepSpec(1, WHOLE)))
         self.placed()
-        self.do(c.CancelJob("j", 0))
+        self.do(commands.CancelJob("j", 0))
         self.do(job_command("k", StepSpec(1, WHOLE)))
         self.assertEqual({}, self.placed())
 
@@ -78,17 +77,21 @@
 
     def test_small_subtasks_fill_a_worker_before_they_open_another(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("j", StepSpec(6, NEED)))
+        self.do(job_command("j", StepSpec(6, SUBTASK_RESOURCES)))
         self.assertEqual(1, len(set(self.placed().values())))
 
 
 class StepTests(PlannerCase):
     def test_a_step_waits_for_those_it_depends_on(self):
         self.add(worker("w1"))
-        self.do(job_command("j", StepSpec(1, NEED), StepSpec(1, NEED, depends_on=(0,))))
+        self.do(
+            job_command(
+                "j", StepSpec(1, SUBTASK_RESOURCES), StepSpec(1, SUBTASK_RESOURCES, depends_on=(0,))
+            )
+        )
         self.assertEqual({("j", "0.0.0"): "w1"}, self.placed())
-        end = c.RunEnded("j", "0.0.0", start_of("j", "0.0.0").run, c.RunEnd.DONE)
-        self.do(c.EndRuns((end,), 0))
+        end = commands.RunEnded("j", "0.0.0", start_of("j", "0.0.0").run, commands.RunOutcome.DONE)
+        self.do(commands.EndRuns((end,), 0))
         self.assertEqual({("j", "0.1.0"): "w1"}, self.placed())
 
     def test_an_occurrence_waits_for_its_time(self):
@@ -100,8 +103,12 @@
 
     def test_a_label_and_a_limit_for_each_worker_are_kept(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("j", StepSpec(3, NEED, required_label="other")))
-        self.do(job_command("k", StepSpec(3, NEED, required_label="kind", max_per_worker=1)))
+        self.do(job_command("j", StepSpec(3, SUBTASK_RESOURCES, required_label="other")))
+        self.do(
+            job_command(
+                "k", StepSpec(3, SUBTASK_RESOURCES, required_label="kind", max_per_worker=1)
+            )
+        )
         self.assertEqual({"w1", "w2"}, set(self.placed().values()))
         self.assertEqual({}, self.placed())
 
@@ -109,7 +116,9 @@
         self.add(worker("w1", rack="far"), worker("w2", rack="near"))
         self.do(job_command("big", StepSpec(1, WHOLE, required_label="near")))
         self.placed()
-        self.do(job_command("j", StepSpec(1, NEED, data_rack="near", estimated_ms=100)))
+        self.do(
+            job_command("j", StepSpec(1, SUBTASK_RESOURCES, data_rack="near", estimated_ms=100))
+        )
         self.assertEqual({}, self.placed(100))
         self.assertEqual({("j", "0.0.0"): "w1"}, self.placed(201))
 
@@ -125,9 +134,11 @@
     def test_members_share_the_run_number(self):
         self.add(worker("w1"), worker("w2"))
         self.do(job_command("j", StepSpec(2, WHOLE, is_gang=True)))
-        self.do(c.StartRuns((start_of("j", "0.0.0", 4),)))
-        end = c.RunEnded("j", "0.0.0", start_of("j", "0.0.0", 4).run, c.RunEnd.STOPPED, "saved")
-        self.do(c.EndRuns((end,), 0))
+        self.do(commands.StartRuns((start_of("j", "0.0.0", 4),)))
+        end = commands.RunEnded(
+            "j", "0.0.0", start_of("j", "0.0.0", 4).run, commands.RunOutcome.STOPPED, "saved"
+        )
+        self.do(commands.EndRuns((end,), 0))
         starts = self.plan().starts
         self.assertEqual([(5, "saved")] * 2, [(s.run.number, s.checkpoint) for s in starts])
 
@@ -161,28 +172,28 @@
 
     def test_it_does_not_fill_up_workers_of_others(self):
         self.add(worker("w1"), worker("w2"), worker("w3"))
-        self.do(job_command("gang", StepSpec(1, NEED), priority=1))
+        self.do(job_command("gang", StepSpec(1, SUBTASK_RESOURCES), priority=1))
         self.do(job_command("low", priority=2))
         placed = self.placed()
         self.assertNotEqual(placed[("gang", "0.0.0")], placed[("low", "0.0.0")])
 
     def test_it_shares_its_own_workers(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("low", StepSpec(4, NEED), priority=2))
+        self.do(job_command("low", StepSpec(4, SUBTASK_RESOURCES), priority=2))
         self.assertEqual(1, len(set(self.placed().values())))
 
 
 class UrgentTests(PlannerCase):
     def test_urgent_work_takes_back_the_least_that_makes_room(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("low", StepSpec(2, Amount(gpu=6)), priority=2))
+        self.do(job_command("low", StepSpec(2, Resources(gpu=6)), priority=2))
         self.placed(PATIENT_MS)
-        self.do(job_command("small", StepSpec(1, Amount(gpu=2)), priority=2))
+        self.do(job_command("small", StepSpec(1, Resources(gpu=2)), priority=2))
         self.placed(PATIENT_MS)
-        self.do(job_command("urgent", StepSpec(1, Amount(gpu=2)), priority=0))
+        self.do(job_command("urgent", StepSpec(1, Resources(gpu=2)), priority=0))
         self.assertEqual([], self.plan().stops)
         self.placed()
-        self.do(job_command("urgent2", StepSpec(1, Amount(gpu=2)), priority=0))
+        self.do(job_command("urgent2", StepSpec(1, Resources(gpu=2)), priority=0))
         stops = self.plan().stops
         self.assertEqual([("small", "0.0.0")], [stop.key for stop in stops])
 
@@ -197,10 +208,10 @@
 
     def test_room_that_becomes_free_is_kept_for_the_one_it_was_freed_for(self):
         self.add(worker("w1"))
-        self.do(job_command("low", StepSpec(1, Amount(gpu=6)), priority=2))
+        self.do(job_command("low", StepSpec(1, Resources(gpu=6)), priority=2))
         self.placed(PATIENT_MS)
         self.do(job_command("urgent", StepSpec(1, WHOLE), priority=0))
-        self.do(job_command("late", StepSpec(1, NEED), priority=2))
+        self.do(job_command("late", StepSpec(1, SUBTASK_RESOURCES), priority=2))
         plan = self.plan()
         self.assertEqual([], plan.starts)
         self.stopping = {stop.key for stop in plan.stops}
@@ -231,11 +242,11 @@
         choice moved on with each new run, so that gangs of whole workers were never started."""
         self.add(worker("w1"), worker("w2"))
         for id, at_ms in (("old", PATIENT_MS), ("new", 3000)):
-            self.do(job_command(id, StepSpec(1, Amount(gpu=7), estimated_ms=4500), priority=2))
-            self.do(c.StartRuns(tuple(self.plan(at_ms + 2001).starts), at_ms))
+            self.do(job_command(id, StepSpec(1, Resources(gpu=7), estimated_ms=4500), priority=2))
+            self.do(commands.StartRuns(tuple(self.plan(at_ms + 2001).starts), at_ms))
         step = StepSpec(1, WHOLE, is_gang=True, estimated_ms=4500)
         self.do(job_command("gang", step, priority=1, at_ms=3000))
-        small = StepSpec(2, NEED, estimated_ms=60_000)
+        small = StepSpec(2, SUBTASK_RESOURCES, estimated_ms=60_000)
         self.do(job_command("small", small, priority=1, at_ms=3001))
         starts = self.plan(4000).starts
         self.assertEqual({"w2"}, {start.run.worker for start in starts})
@@ -252,7 +263,7 @@
     """The team of the manifest has eight accelerators reserved; nobody else has any."""
 
     def borrow(self, id, team, gpu, at_ms=0):
-        command = job_command(id, StepSpec(1, Amount(gpu=gpu)), priority=0, at_ms=at_ms)
+        command = job_command(id, StepSpec(1, Resources(gpu=gpu)), priority=0, at_ms=at_ms)
         self.do(msgspec.structs.replace(command, team=team))
 
     def test_urgent_work_of_a_team_beyond_its_reserve_gives_way(self):
@@ -278,7 +289,7 @@
 
     def test_promised_work_does_not_wait_long_for_its_rack(self):
         self.add(worker("a1", rack="a"), worker("b1", rack="b"))
-        step = StepSpec(1, NEED, data_rack="c", estimated_ms=60_000)
+        step = StepSpec(1, SUBTASK_RESOURCES, data_rack="c", estimated_ms=60_000)
         self.add(worker("c1", rack="c", state=WorkerState.READY), answers=True)
         full = job_command("full", StepSpec(1, WHOLE, required_label="c"), priority=0)
         self.do(msgspec.structs.replace(full, team="other"))
@@ -297,7 +308,7 @@
         self.do(job_command("a", StepSpec(1, WHOLE, required_label="a"), priority=1))
         self.do(job_command("b", StepSpec(1, WHOLE, required_label="b"), priority=1))
         self.placed()
-        gang = StepSpec(2, Amount(gpu=8), is_gang=True, same_rack=True, estimated_ms=2500)
+        gang = StepSpec(2, Resources(gpu=8), is_gang=True, same_rack=True, estimated_ms=2500)
         self.do(msgspec.structs.replace(job_command("u", gang, priority=0), team="other"))
         stops = self.plan(RESERVED_PATIENCE_MS).stops
         self.assertEqual(1, len(stops))
@@ -336,16 +347,16 @@
     def test_the_run_with_the_least_work_behind_it_is_taken_back(self):
         self.add(worker("w1"))
         for id, at_ms in (("old", PATIENT_MS), ("new", 9000)):
-            self.do(job_command(id, StepSpec(1, Amount(gpu=4)), priority=2))
-            self.do(c.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
-        self.do(job_command("urgent", StepSpec(1, Amount(gpu=4)), priority=0))
+            self.do(job_command(id, StepSpec(1, Resources(gpu=4)), priority=2))
+            self.do(commands.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
+        self.do(job_command("urgent", StepSpec(1, Resources(gpu=4)), priority=0))
         self.assertEqual([("new", "0.0.0")], [stop.key for stop in self.plan(9500).stops])
 
     def test_a_run_that_saves_loses_little(self):
         self.add(worker("w1"))
         for id, saves, at_ms in (("saves", True, PATIENT_MS), ("new", False, 5000)):
-            step = StepSpec(1, Amount(gpu=4), saves_checkpoints=saves)
+            step = StepSpec(1, Resources(gpu=4), saves_checkpoints=saves)
             self.do(job_command(id, step, priority=2))
-            self.do(c.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
-        self.do(job_command("urgent", StepSpec(1, Amount(gpu=4)), priority=0))
+            self.do(commands.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
+        self.do(job_command("urgent", StepSpec(1, Resources(gpu=4)), priority=0))
         self.assertEqual([("saves", "0.0.0")], [stop.key for stop in self.plan(9000).stops])
--- a/packages/agateferry-jobs/agateferry_jobs/support/model_worker.py
+++ b/packages/agateferry-jobs/agateferry_jobs/support/model_worker.py
@@ -12,11 +12,11 @@
     Answer,
     Confirmed,
     FinishedRun,
-    HoldOrder,
-    Listed,
+    IncarnationMismatch,
     NoAnswer,
-    OtherLife,
+    PollOrder,
     Rejected,
+    RunLists,
     RunningRun,
     StartOrder,
     StopOrder,
@@ -46,7 +46,7 @@
     late: list[StartOrder] = field(default_factory=list)
     starts: list[tuple[RunKey, int]] = field(default_factory=list)
     percent: float = 0.0
-    how_first_ended: str = ""
+    first_outcome: str = ""
 
     async def start(self, order: StartOrder, timeout_ms: int) -> Answer:
         """Take a start, or lose it for now."""
@@ -95,9 +95,9 @@
             self.end(order.key, "stopped")
         return Confirmed(self.clock.now_ms())
 
-    async def hold(
-        self, order: HoldOrder, timeout_ms: int
-    ) -> Listed | Rejected | OtherLife | NoAnswer:
+    async def poll(
+        self, order: PollOrder, timeout_ms: int
+    ) -> RunLists | Rejected | IncarnationMismatch | NoAnswer:
         """Extend the lease and list."""
         await asyncio.sleep(WAIT_STEP_S)
         for _ in range(order.wait_ms // WAIT_STEP_MS):
@@ -107,7 +107,7 @@
         if self.is_cut:
             return NoAnswer("cut")
         if self.is_other:
-            return OtherLife()
+            return IncarnationMismatch()
         if order.token < self.token:
             return Rejected("fence", self.clock.now_ms())
         self.token = order.token
@@ -115,15 +115,15 @@
             self.deadline_ms = max(self.deadline_ms, order.deadline_ms)
         self.ends = [end for end in self.ends if end.number > order.cursor]
         running = tuple(RunningRun(k, r, "", self.percent) for k, r in self.running.items())
-        return Listed(self.clock.now_ms(), self.born, running, tuple(self.ends))
+        return RunLists(self.clock.now_ms(), self.born, running, tuple(self.ends))
 
-    def end(self, key: RunKey, how: str, checkpoint: str = "") -> None:
+    def end(self, key: RunKey, outcome: str, checkpoint: str = "") -> None:
         """Have a run end."""
         run = self.running.pop(key)
-        self.how_first_ended = self.how_first_ended or how
+        self.first_outcome = self.first_outcome or outcome
         self.over[key] = run
         self.ended += 1
-        self.ends.append(FinishedRun(self.ended, key, run, how, checkpoint))
+        self.ends.append(FinishedRun(self.ended, key, run, outcome, checkpoint))
 
     async def close(self) -> None:
         """Do nothing."""
