--- a/packages/agateferry-service/agateferry_service/cell/admission.py
+++ b/packages/agateferry-service/agateferry_service/cell/admission.py
@@ -6,7 +6,7 @@
 from agateferry_scheduling.scheduler.messages import PendingRequest
 from agateferry_service.cell.catalog import Catalog
 from agateferry_service.cell.refusals import RefusalReason, refusal
-from agateferry_service.requests import Spec
+from agateferry_service.requests import RequestSpec
 from agateferry_service.requests.codec import demand_from_pb
 from agateferry_service.rpc import cell_pb2 as pb
 
@@ -18,7 +18,7 @@
     catalog: Catalog
     clock: Clock
 
-    def admit(self, req: pb.SubmitRequest) -> Spec | pb.Refusal:
+    def admit(self, req: pb.SubmitRequest) -> RequestSpec | pb.Refusal:
         """Return the completed request, or why it was not run."""
         if self.catalog.team(req.team) is None:
             return refusal(RefusalReason.UNKNOWN_TEAM, f"no team record is named {req.team}")
@@ -29,7 +29,7 @@
             detail = f"job {req.job} is not idempotent; send an Idempotency-Key"
             return refusal(RefusalReason.KEY_REQUIRED, detail)
         wall_ms = self.clock.wall_ms()
-        return Spec(
+        return RequestSpec(
             id=req.id,
             team=req.team,
             job=req.job,
@@ -48,7 +48,7 @@
         )
 
 
-def pending_of(spec: Spec, clock: Clock) -> PendingRequest:
+def pending_of(spec: RequestSpec, clock: Clock) -> PendingRequest:
     """Return a request as the scheduler sees it, its times on the monotonic clock."""
     offset_ms = clock.now_ms() - clock.wall_ms()
     return PendingRequest(
--- a/packages/agateferry-service/agateferry_service/cell/cell.py
+++ b/packages/agateferry-service/agateferry_service/cell/cell.py
@@ -52,11 +52,11 @@
             return self._refuse_request()
         return await self.leader.submit(req)
 
-    async def look(self, req: pb.LookRequest) -> pb.RequestReply:
+    async def get_request(self, req: pb.LookRequest) -> pb.RequestReply:
         """Return a request, if this host leads."""
         if not self.leader.active:
             return self._refuse_request()
-        reply = await self.leader.look(req)
+        reply = await self.leader.get_request(req)
         return reply if self.leader.active else self._refuse_request()
 
     async def cancel(self, req: pb.CancelRequest) -> pb.RequestReply:
--- a/packages/agateferry-service/agateferry_service/cell/leader.py
+++ b/packages/agateferry-service/agateferry_service/cell/leader.py
@@ -33,11 +33,11 @@
 from agateferry_service.cell.context import CellContext
 from agateferry_service.cell.counting import count_end
 from agateferry_service.cell.decider import Decider, EventRecord
-from agateferry_service.cell.proposer import propose_refusal
+from agateferry_service.cell.proposer import refusal_for_propose_error
 from agateferry_service.cell.refusals import RefusalReason, refusal
 from agateferry_service.cell.watch import WorkerWatch
 from agateferry_service.dispatch.messages import AttemptEnd
-from agateferry_service.requests import Outcome, OutcomeKind, Placement, Request, Spec
+from agateferry_service.requests import Outcome, OutcomeKind, Placement, Request, RequestSpec
 from agateferry_service.requests.codec import placement_to_pb, spec_to_pb, view_to_pb
 from agateferry_service.rpc import cell_pb2, commands_pb2
 from agateferry_state.replica import ProposeError
@@ -59,7 +59,7 @@
         self.watch = WorkerWatch(ctx, self.attempts, self.decider)
         self.quarantined: dict[str, str] = {}
         self.at_risk: tuple[str, ...] = ()
-        self.background: list[Callable[[], Coroutine[Any, Any, None]]] = []
+        self.background_tasks: list[Callable[[], Coroutine[Any, Any, None]]] = []
         self._revision_told = -1
 
     @property
@@ -90,7 +90,7 @@
         self._tell_records()
         self.watch.begin()
         self._resume_requests()
-        for work in (self._tick_for_ever, *self.background):
+        for work in (self._tick_for_ever, *self.background_tasks):
             self.ctx.tasks.spawn(work())
         return True
 
@@ -114,7 +114,7 @@
             return await self._reply_to_resend(known, admitted, req.wait_ms)
         return await self._store_new(admitted, req.wait_ms)
 
-    async def look(self, req: cell_pb2.LookRequest) -> cell_pb2.RequestReply:
+    async def get_request(self, req: cell_pb2.LookRequest) -> cell_pb2.RequestReply:
         """Return a request, at its end or after the wait that was asked for."""
         request = self.ctx.machine.ledger.get(req.request_id)
         if request is None:
@@ -128,7 +128,7 @@
         )
         result = await self.ctx.proposer.propose(cancel=command)
         if result.is_error():
-            return cell_pb2.RequestReply(refusal=propose_refusal(result.error))
+            return cell_pb2.RequestReply(refusal=refusal_for_propose_error(result.error))
         outcome = result.ok
         if not isinstance(outcome, Outcome) or outcome.request is None:
             return _unknown(req.request_id)
@@ -156,20 +156,20 @@
     def _admission(self) -> Admission:
         return Admission(self.ctx.catalog, self.ctx.clock)
 
-    def _known(self, spec: Spec) -> Request | None:
+    def _known(self, spec: RequestSpec) -> Request | None:
         ledger = self.ctx.machine.ledger
         by_key = ledger.by_key(spec.team, spec.key) if spec.key else None
         return ledger.get(spec.id) or by_key
 
     async def _reply_to_resend(
-        self, known: Request, spec: Spec, wait_ms: int
+        self, known: Request, spec: RequestSpec, wait_ms: int
     ) -> cell_pb2.RequestReply:
         if known.spec.body_digest != spec.body_digest:
             detail = f"the key belongs to request {known.id}, which has another body"
             return self._refuse(RefusalReason.KEY_REUSED, detail)
         return await self._reply(known, wait_ms)
 
-    async def _store_new(self, spec: Spec, wait_ms: int) -> cell_pb2.RequestReply:
+    async def _store_new(self, spec: RequestSpec, wait_ms: int) -> cell_pb2.RequestReply:
         """Ask the scheduler first, so that a refusal stores nothing, and store what it decided."""
         decision = self.decider().feed_new(pending_of(spec, self.ctx.clock))
         if isinstance(decision, Reject):
@@ -195,11 +195,11 @@
         return await self._reply(request, wait_ms)
 
     async def _refuse_unstored(
-        self, spec: Spec, decision: Start | None, error: ProposeError
+        self, spec: RequestSpec, decision: Start | None, error: ProposeError
     ) -> cell_pb2.RequestReply:
         if self._decider is not None:
             self._retract(spec.id, decision)
-        refused = propose_refusal(error)
+        refused = refusal_for_propose_error(error)
         self.ctx.metrics.refused(refused.reason)
         return cell_pb2.RequestReply(refusal=refused)
 
--- a/packages/agateferry-service/agateferry_service/cell/proposer.py
+++ b/packages/agateferry-service/agateferry_service/cell/proposer.py
@@ -5,7 +5,7 @@
 from expression import Error, Ok, Result
 
 from agateferry_core.metrics import Metrics
-from agateferry_service.cell.refusals import COME_BACK_MS, RefusalReason, not_leader, refusal
+from agateferry_service.cell.refusals import RETRY_AFTER_MS, RefusalReason, not_leader, refusal
 from agateferry_service.rpc import cell_pb2, commands_pb2
 from agateferry_state.replica import ProposeError, ProposeErrorKind, Replica
 
@@ -45,16 +45,16 @@
         return Ok(result.ok.outcome)
 
 
-def propose_refusal(error: ProposeError) -> cell_pb2.Refusal:
+def refusal_for_propose_error(error: ProposeError) -> cell_pb2.Refusal:
     """Tell a caller why its command has no outcome."""
     match error.kind:
         case ProposeErrorKind.NOT_LEADER:
             return not_leader(error.leader)
         case ProposeErrorKind.STOPPED:
-            return refusal(RefusalReason.STOPPING, "this host is stopping", COME_BACK_MS)
+            return refusal(RefusalReason.STOPPING, "this host is stopping", RETRY_AFTER_MS)
         case ProposeErrorKind.STORAGE_FAILED:
             detail = error.detail or "the disk failed"
-            return refusal(RefusalReason.STORAGE_FAILED, detail, COME_BACK_MS)
+            return refusal(RefusalReason.STORAGE_FAILED, detail, RETRY_AFTER_MS)
         case ProposeErrorKind.UNKNOWN:
             detail = "the state's answer was lost; ask again with the same key"
-            return refusal(RefusalReason.OUTCOME_UNKNOWN, detail, COME_BACK_MS)
+            return refusal(RefusalReason.OUTCOME_UNKNOWN, detail, RETRY_AFTER_MS)
--- a/packages/agateferry-service/agateferry_service/cell/refusals.py
+++ b/packages/agateferry-service/agateferry_service/cell/refusals.py
@@ -4,7 +4,7 @@
 
 from agateferry_service.rpc import cell_pb2 as pb
 
-COME_BACK_MS = 1_000
+RETRY_AFTER_MS = 1_000
 
 
 class RefusalReason(StrEnum):
@@ -36,4 +36,4 @@
 def not_leader(leader: str | None) -> pb.Refusal:
     """Refuse because another host leads, and name it where it is known."""
     detail = f"ask {leader}" if leader else "no leader is known here"
-    return refusal(RefusalReason.NOT_LEADER, detail, COME_BACK_MS, leader or "")
+    return refusal(RefusalReason.NOT_LEADER, detail, RETRY_AFTER_MS, leader or "")
--- a/packages/agateferry-service/agateferry_service/cell/servicer.py
+++ b/packages/agateferry-service/agateferry_service/cell/servicer.py
@@ -31,7 +31,7 @@
 
     async def Look(self, request: pb.LookRequest, context: Any) -> pb.RequestReply:
         """Return a request."""
-        return await self._serve(request, self._cell.look(request))
+        return await self._serve(request, self._cell.get_request(request))
 
     async def Cancel(self, request: pb.CancelRequest, context: Any) -> pb.RequestReply:
         """Cancel a request."""
--- a/packages/agateferry-service/agateferry_service/cell/tests/support.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/support.py
@@ -27,7 +27,13 @@
 from agateferry_state.replica import Applied, ProposeError, ProposeErrorKind
 
 TIMES = CellTimes(
-    attempt=AttemptTimes(hold_ms=10, resolve_ms=50, backoff_ms=5, look_ms=20, reserve_ms=1_000),
+    attempt=AttemptTimes(
+        start_wait_ms=10,
+        resolve_timeout_ms=50,
+        backoff_ms=5,
+        poll_interval_ms=20,
+        reservation_ttl_ms=1_000,
+    ),
     tick_ms=10,
     worker_silence_ms=100_000,
     requeue_ms=5,
--- a/packages/agateferry-service/agateferry_service/cell/tests/test_cell.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/test_cell.py
@@ -157,7 +157,9 @@
                 machine = cell.ctx.machine
             async with running_cell(workers, names=(), machine=machine) as cell:
                 workers.finish("z.1.1.0")
-                return (await cell.look(pb.LookRequest(request_id="z.1", wait_ms=2_000))).view
+                return (
+                    await cell.get_request(pb.LookRequest(request_id="z.1", wait_ms=2_000))
+                ).view
 
         self.assertEqual("finished", run_async(main()).state)
         self.assertEqual({("z.1", 0): 1}, workers.starts)
@@ -175,12 +177,14 @@
                 machine = cell.ctx.machine
             workers.silent.clear()
             async with running_cell(workers, names=(), machine=machine) as cell:
-                return (await cell.look(pb.LookRequest(request_id="z.1", wait_ms=2_000))).view
+                return (
+                    await cell.get_request(pb.LookRequest(request_id="z.1", wait_ms=2_000))
+                ).view
 
         self.assertEqual("finished", run_async(main()).state)
         self.assertEqual({("z.1", 0): 1}, workers.starts)
 
-    def test_a_cancel_and_a_look_held_at_a_deposed_leader_go_to_the_next_at_once(self):
+    def test_calls_that_wait_at_a_deposed_leader_are_refused_at_once(self):
         workers = FakeWorkers()
         workers.finish_at_once = False
 
@@ -188,8 +192,8 @@
             async with running_cell(workers) as cell:
                 await cell.submit(submission(wait_ms=0))
                 await until(lambda: workers.starts)
-                look = pb.LookRequest(request_id="z.1", wait_ms=60_000)
-                held = asyncio.create_task(cell.look(look))
+                query = pb.LookRequest(request_id="z.1", wait_ms=60_000)
+                held = asyncio.create_task(cell.get_request(query))
                 await asyncio.sleep(0)
                 workers.act = lambda *call: asyncio.sleep(60)
                 cancel = asyncio.create_task(cell.cancel(pb.CancelRequest(request_id="z.1")))
@@ -239,9 +243,9 @@
                 workers.finish("z.1.1.0")
                 await until(lambda: not cell.leader.active)
                 cell.ctx.replica.failing = None
-                look = pb.LookRequest(request_id="z.1", wait_ms=2_000)
+                query = pb.LookRequest(request_id="z.1", wait_ms=2_000)
                 await until(lambda: cell.leader.active and not cell.ctx.proposer.doubtful)
-                return (await cell.look(look)).view.state
+                return (await cell.get_request(query)).view.state
 
         self.assertEqual("finished", run_async(main()))
 
@@ -266,7 +270,9 @@
                 await cell.announce(announcement("w2"))
                 workers.finish_at_once = True
                 await cell.announce(announcement("w1", incarnation="i2", state="leaving"))
-                return (await cell.look(pb.LookRequest(request_id="z.1", wait_ms=2_000))).view
+                return (
+                    await cell.get_request(pb.LookRequest(request_id="z.1", wait_ms=2_000))
+                ).view
 
         view = run_async(main())
         self.assertEqual(("finished", 2), (view.state, view.attempt))
@@ -282,7 +288,9 @@
                 for name in ("w1", "w2"):
                     workers.silent.add(name)
                     await cell.announce(announcement(name, incarnation="i2"))
-                return (await cell.look(pb.LookRequest(request_id="z.1", wait_ms=2_000))).view
+                return (
+                    await cell.get_request(pb.LookRequest(request_id="z.1", wait_ms=2_000))
+                ).view
 
         view = run_async(main())
         self.assertEqual("failed", view.state)
@@ -323,8 +331,8 @@
                 await cell.submit(submission("gang", wait_ms=50))
                 started_while_refused = dict(workers.starts)
                 workers.refusing.clear()
-                look = pb.LookRequest(request_id="z.1", wait_ms=3_000)
-                return started_while_refused, (await cell.look(look)).view
+                query = pb.LookRequest(request_id="z.1", wait_ms=3_000)
+                return started_while_refused, (await cell.get_request(query)).view
 
         started, view = run_async(main())
         self.assertEqual(({}, "finished", 3), (started, view.state, len(view.answers)))
--- a/packages/agateferry-service/agateferry_service/cell/watch.py
+++ b/packages/agateferry-service/agateferry_service/cell/watch.py
@@ -12,7 +12,7 @@
 from agateferry_service.cell.attempts import Attempts
 from agateferry_service.cell.context import CellContext
 from agateferry_service.cell.decider import Decider
-from agateferry_service.cell.proposer import propose_refusal
+from agateferry_service.cell.proposer import refusal_for_propose_error
 from agateferry_service.dispatch.messages import FINAL_LEASE_STATES
 from agateferry_service.endpoints.registry import (
     RegisteredWorker,
@@ -108,7 +108,7 @@
             return None
         result = await self._ctx.proposer.propose(worker=req.worker)
         if result.is_error():
-            return propose_refusal(result.error)
+            return refusal_for_propose_error(result.error)
         self._ctx.log.info(events.WORKER_CHANGED, worker=announced.name, state=state.value)
         if known is not None and known.worker.incarnation != announced.incarnation:
             self._decider().feed(WorkerLost(announced.name))
--- a/packages/agateferry-service/agateferry_service/daemon/host.py
+++ b/packages/agateferry-service/agateferry_service/daemon/host.py
@@ -32,8 +32,8 @@
 from agateferry_service.records.servicer import RecordsServicer
 from agateferry_service.routing import Channels
 from agateferry_service.routing.calls import CellCalls, RecordsCalls
-from agateferry_service.routing.router import Call
-from agateferry_service.routing.zones import Zones
+from agateferry_service.routing.router import RpcMethod
+from agateferry_service.routing.zone_routers import ZoneRouters
 from agateferry_service.rpc import cell_pb2
 from agateferry_service.rpc.cell_pb2_grpc import (
     add_CellServicer_to_server,
@@ -156,12 +156,12 @@
 
     def _build_routing(self) -> None:
         self.channels = Channels()
-        self.zones = Zones(self.settings, self.channels, self.clock, self.metrics, self.rng)
+        self.zones = ZoneRouters(self.settings, self.channels, self.clock, self.metrics, self.rng)
         self.cell_calls = CellCalls(self.cell)
         self.records_calls = RecordsCalls(self.plane)
         ctx = self.cell.ctx
         follower = RecordsFollower(ctx.machine, ctx.proposer, self._fetch_records, self.log)
-        self.cell.leader.background.append(follower.follow)
+        self.cell.leader.background_tasks.append(follower.follow)
 
     def _build_ports(self) -> None:
         settings, limits = self.settings, self.settings.limits
@@ -228,7 +228,7 @@
         await server.start()
 
     async def _fetch_records(self, req: cell_pb2.RecordsRequest) -> cell_pb2.RecordsReply:
-        since: Call = self.records_calls.since
+        since: RpcMethod = self.records_calls.since
         reply: cell_pb2.RecordsReply = await self.zones.records.call(
             since, req, FETCH_PATIENCE_MS, req.wait_ms
         )
@@ -270,9 +270,9 @@
         requeue_ms=timeouts.retry_pause_ms,
         retry_budget_percent=settings.limits.retry_budget_percent,
         attempt=AttemptTimes(
-            hold_ms=max(0, timeouts.endpoint_silence_ms - WAIT_GRACE_MS),
+            start_wait_ms=max(0, timeouts.endpoint_silence_ms - WAIT_GRACE_MS),
             backoff_ms=timeouts.retry_pause_ms,
-            reserve_ms=timeouts.reservation_ttl_ms,
+            reservation_ttl_ms=timeouts.reservation_ttl_ms,
         ),
         answer_keep_ms=timeouts.answer_keep_ms,
     )
--- a/packages/agateferry-service/agateferry_service/dispatch/attempt.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/attempt.py
@@ -39,11 +39,11 @@
     is looked at when no announcement speaks of it; `reserve_ms` is the life of a reservation.
     """
 
-    hold_ms: int = 1_500
-    resolve_ms: int = 6_000
+    start_wait_ms: int = 1_500
+    resolve_timeout_ms: int = 6_000
     backoff_ms: int = 100
-    look_ms: int = 60_000
-    reserve_ms: int = 10_000
+    poll_interval_ms: int = 60_000
+    reservation_ttl_ms: int = 10_000
 
 
 @dataclass(slots=True)
@@ -166,7 +166,7 @@
     async def _reserve(self, member: Member) -> bool:
         if not self._check_lead():
             return False
-        ttl_ms = self._times.reserve_ms
+        ttl_ms = self._times.reservation_ttl_ms
         match await self._calls.reserve(member.address, member.order, ttl_ms):
             case Result(tag="ok", ok=view):
                 if view.state is not LeaseState.RESERVED:
@@ -216,15 +216,15 @@
     async def _needs_look(self, member: Member) -> bool:
         """Wait for a hint of the lease's end; without one, tell whether its worker is overdue."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._times.look_ms / 1000):
+            async with asyncio.timeout(self._times.poll_interval_ms / 1000):
                 await member.hint.wait()
         hinted = member.hint.is_set()
         member.hint.clear()
-        return hinted or self._clock.now_ms() - member.heard_ms >= self._times.look_ms
+        return hinted or self._clock.now_ms() - member.heard_ms >= self._times.poll_interval_ms
 
     async def _start(self, member: Member) -> Result[LeaseView, WorkerError]:
         """Start a member; when the answer is lost, find out over fresh connections."""
-        until_ms = self._clock.now_ms() + self._times.resolve_ms
+        until_ms = self._clock.now_ms() + self._times.resolve_timeout_ms
         if member.sent:
             reply = await self._look(member)
             if not _is_unstarted(reply):
@@ -235,8 +235,8 @@
             if not self._check_lead():
                 return Error(WorkerError(WorkerErrorKind.SILENT, "deposed"))
             member.sent = True
-            hold_ms = self._times.hold_ms
-            reply = await self._calls.start(member.address, member.order, hold_ms)
+            start_wait_ms = self._times.start_wait_ms
+            reply = await self._calls.start(member.address, member.order, start_wait_ms)
             if not _is_lost(reply) or (_is_unreached(reply) and not uncertain):
                 member.sent = uncertain or reply.is_ok()
                 return reply
@@ -248,7 +248,7 @@
 
     async def _look(self, member: Member) -> Result[LeaseView, WorkerError]:
         """Ask for a lease until an answer comes or the bound has passed."""
-        until_ms = self._clock.now_ms() + self._times.resolve_ms
+        until_ms = self._clock.now_ms() + self._times.resolve_timeout_ms
         tries = 0
         while True:
             reply = await self._calls.look(member.address, member.order.lease)
--- a/packages/agateferry-service/agateferry_service/dispatch/tests/test_attempt.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/tests/test_attempt.py
@@ -17,7 +17,7 @@
 )
 from agateferry_service.requests.state import Run
 
-TIMES = AttemptTimes(hold_ms=20, resolve_ms=60, backoff_ms=5, look_ms=20)
+TIMES = AttemptTimes(start_wait_ms=20, resolve_timeout_ms=60, backoff_ms=5, poll_interval_ms=20)
 
 
 class FakeWorkers:
@@ -92,7 +92,7 @@
 
     def test_a_refusal_ends_the_attempt_at_once(self):
         fake = FakeWorkers(m0_start=[WorkerErrorKind.REFUSED])
-        times = AttemptTimes(look_ms=60_000)
+        times = AttemptTimes(poll_interval_ms=60_000)
         tried = Attempt(members(1), fake, SystemClock(), lambda: True, random.Random(1), times)
         self.assertEqual(AttemptEnd.FAILED, run_async(tried.run(), 5).end)
 
--- a/packages/agateferry-service/agateferry_service/entry/app.py
+++ b/packages/agateferry-service/agateferry_service/entry/app.py
@@ -19,7 +19,7 @@
 from agateferry_service.http.problems import problem, refused
 from agateferry_service.requests.codec import demand_to_pb
 from agateferry_service.routing.calls import CellCalls
-from agateferry_service.routing.zones import Zones
+from agateferry_service.routing.zone_routers import ZoneRouters
 from agateferry_service.rpc import cell_pb2 as pb
 from agateferry_service.settings import LimitSettings
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         zone: str,
-        zones: Zones,
+        zones: ZoneRouters,
         catalog: Catalog,
         calls: CellCalls,
         limits: LimitSettings,
@@ -166,7 +166,7 @@
             slice_ms = max(0, min(LOOK_SLICE_MS, int((until - time.monotonic()) * 1000)))
             message = pb.LookRequest(request_id=request_id, wait_ms=slice_ms)
             reply: pb.RequestReply = await self._zones.router(home).call(
-                self._calls.look, message, PATIENCE_MS, slice_ms
+                self._calls.get_request, message, PATIENCE_MS, slice_ms
             )
             ended = reply.HasField("view") and has_ended(reply.view)
             over = time.monotonic() >= until or self._is_stopping()
--- a/packages/agateferry-service/agateferry_service/operators/app.py
+++ b/packages/agateferry-service/agateferry_service/operators/app.py
@@ -19,7 +19,7 @@
 from agateferry_service.operators.steering import Steering
 from agateferry_service.records.plane import NEWEST, read_records
 from agateferry_service.routing.calls import CellCalls, RecordsCalls
-from agateferry_service.routing.zones import Zones
+from agateferry_service.routing.zone_routers import ZoneRouters
 from agateferry_service.rpc import cell_pb2 as pb
 from agateferry_service.settings import LimitSettings
 from agateferry_state.records import Kind, RecordStore, Schema
@@ -45,7 +45,7 @@
     def __init__(
         self,
         zone: str,
-        zones: Zones,
+        zones: ZoneRouters,
         cell_calls: CellCalls,
         records_calls: RecordsCalls,
         copy: RecordStore,
--- a/packages/agateferry-service/agateferry_service/records/plane.py
+++ b/packages/agateferry-service/agateferry_service/records/plane.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from agateferry_core.metrics import Metrics
-from agateferry_service.cell.proposer import propose_refusal
+from agateferry_service.cell.proposer import refusal_for_propose_error
 from agateferry_service.cell.refusals import RefusalReason, not_leader, refusal
 from agateferry_service.rpc import cell_pb2 as pb
 from agateferry_state.records import (
@@ -90,7 +90,7 @@
             return self._refuse(RefusalReason.INVALID, str(put.error))
         result = await self._replica.propose(encode_put(put.ok))
         if result.is_error():
-            return pb.QueryReply(refusal=propose_refusal(result.error))
+            return pb.QueryReply(refusal=refusal_for_propose_error(result.error))
         return self._put_reply(result.ok.outcome, Schema(req.schema))
 
     async def read(self, req: pb.QueryRequest) -> pb.QueryReply:
--- a/packages/agateferry-service/agateferry_service/requests/__init__.py
+++ b/packages/agateferry-service/agateferry_service/requests/__init__.py
@@ -5,9 +5,9 @@
 from agateferry_service.requests.state import (
     Placement,
     Request,
+    RequestSpec,
     RequestState,
     Run,
-    Spec,
     Stage,
     lease_name,
 )
@@ -18,9 +18,9 @@
     "OutcomeKind",
     "Placement",
     "Request",
+    "RequestSpec",
     "RequestState",
     "Run",
-    "Spec",
     "Stage",
     "lease_name",
 ]
--- a/packages/agateferry-service/agateferry_service/requests/codec.py
+++ b/packages/agateferry-service/agateferry_service/requests/codec.py
@@ -1,7 +1,14 @@
 """Translate between the ledger's data classes and the messages of the log and the wire."""
 
 from agateferry_core.demand import Adjacency, Demand, Urgency
-from agateferry_service.requests.state import Placement, Request, RequestState, Run, Spec, Stage
+from agateferry_service.requests.state import (
+    Placement,
+    Request,
+    RequestSpec,
+    RequestState,
+    Run,
+    Stage,
+)
 from agateferry_service.rpc import commands_pb2 as pb
 
 
@@ -42,7 +49,7 @@
     return Placement(message.member, message.worker, message.incarnation, message.accelerators)
 
 
-def spec_to_pb(spec: Spec) -> pb.RequestSpec:
+def spec_to_pb(spec: RequestSpec) -> pb.RequestSpec:
     """Write what a caller asked for as a message."""
     return pb.RequestSpec(
         id=spec.id,
@@ -63,9 +70,9 @@
     )
 
 
-def spec_from_pb(message: pb.RequestSpec) -> Spec:
+def spec_from_pb(message: pb.RequestSpec) -> RequestSpec:
     """Read what a caller asked for from a message."""
-    return Spec(
+    return RequestSpec(
         id=message.id,
         team=message.team,
         job=message.job,
--- a/packages/agateferry-service/agateferry_service/requests/state.py
+++ b/packages/agateferry-service/agateferry_service/requests/state.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spec:
+class RequestSpec:
     """What a caller asked for, completed by the job record that was in force."""
 
     id: str
@@ -79,7 +79,7 @@
     failure laid to the request. `run` is what is known over all attempts.
     """
 
-    spec: Spec
+    spec: RequestSpec
     state: RequestState = RequestState.ACCEPTED
     attempt: int = 0
     placements: tuple[Placement, ...] = ()
--- a/packages/agateferry-service/agateferry_service/requests/tests/test_ledger.py
+++ b/packages/agateferry-service/agateferry_service/requests/tests/test_ledger.py
@@ -1,13 +1,13 @@
 import testtools
 
 from agateferry_core.demand import Demand, Urgency
-from agateferry_service.requests import Ledger, OutcomeKind, RequestState, Run, Spec, Stage
+from agateferry_service.requests import Ledger, OutcomeKind, RequestSpec, RequestState, Run, Stage
 from agateferry_service.requests.codec import spec_to_pb
 from agateferry_service.rpc import commands_pb2 as pb
 
 
 def make_spec(request_id="z.1", key="", digest=b"d", idempotent=True, max_attempts=3):
-    return Spec(
+    return RequestSpec(
         id=request_id,
         team="t",
         job="j",
--- a/packages/agateferry-service/agateferry_service/routing/calls.py
+++ b/packages/agateferry-service/agateferry_service/routing/calls.py
@@ -2,7 +2,7 @@
 
 from agateferry_service.cell.cell import Cell
 from agateferry_service.records.plane import RecordsPlane
-from agateferry_service.routing.router import Call
+from agateferry_service.routing.router import RpcMethod
 from agateferry_service.rpc import cell_pb2 as pb
 from agateferry_service.rpc.cell_pb2_grpc import CellStub, RecordsStub
 
@@ -19,29 +19,35 @@
     """The calls to a zone's cell; `cell` is this host's own, which answers for its own zone."""
 
     def __init__(self, cell: Cell) -> None:
-        self.submit = Call("submit", lambda ch: CellStub(ch).Submit, _request_refused, cell.submit)
-        self.look = Call("look", lambda ch: CellStub(ch).Look, _request_refused, cell.look)
-        self.cancel = Call("cancel", lambda ch: CellStub(ch).Cancel, _request_refused, cell.cancel)
-        self.announce = Call(
+        self.submit = RpcMethod(
+            "submit", lambda ch: CellStub(ch).Submit, _request_refused, cell.submit
+        )
+        self.get_request = RpcMethod(
+            "look", lambda ch: CellStub(ch).Look, _request_refused, cell.get_request
+        )
+        self.cancel = RpcMethod(
+            "cancel", lambda ch: CellStub(ch).Cancel, _request_refused, cell.cancel
+        )
+        self.announce = RpcMethod(
             "announce",
             lambda ch: CellStub(ch).Announce,
             lambda refusal: pb.AnnounceReply(refusal=refusal),
             cell.announce,
         )
-        self.query = Call("query", lambda ch: CellStub(ch).Query, _query_refused, cell.query)
+        self.query = RpcMethod("query", lambda ch: CellStub(ch).Query, _query_refused, cell.query)
 
 
 class RecordsCalls:
     """The calls to the records plane; `plane` is this host's own share, if it votes."""
 
     def __init__(self, plane: RecordsPlane | None) -> None:
-        self.put = Call(
+        self.put = RpcMethod(
             "put", lambda ch: RecordsStub(ch).Put, _query_refused, plane.put if plane else None
         )
-        self.read = Call(
+        self.read = RpcMethod(
             "read", lambda ch: RecordsStub(ch).Read, _query_refused, plane.read if plane else None
         )
-        self.since = Call(
+        self.since = RpcMethod(
             "since",
             lambda ch: RecordsStub(ch).Since,
             lambda refusal: pb.RecordsReply(refusal=refusal),
--- a/packages/agateferry-service/agateferry_service/routing/router.py
+++ b/packages/agateferry-service/agateferry_service/routing/router.py
@@ -11,7 +11,7 @@
 from agateferry_core.clock import Clock
 from agateferry_core.metrics import Metrics
 from agateferry_core.tasks import is_cancelled_itself
-from agateferry_service.cell.refusals import COME_BACK_MS, RefusalReason, refusal
+from agateferry_service.cell.refusals import RETRY_AFTER_MS, RefusalReason, refusal
 from agateferry_service.routing.channels import Channels
 from agateferry_service.rpc import cell_pb2 as pb
 from agateferry_state.replica.metrics import count_received, count_sent
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class GroupHost:
     """A host of a group, by name and by the address of its peers' port."""
 
     name: str
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class RpcMethod:
     """One kind of call: how to make its stub's method and its reply that carries a refusal.
 
     `local` answers without a connection when this host is a member of the group. A call that is
@@ -55,7 +55,7 @@
     def __init__(
         self,
         host: str,
-        members: Sequence[Member],
+        members: Sequence[GroupHost],
         channels: Channels,
         clock: Clock,
         metrics: Metrics,
@@ -71,7 +71,7 @@
         self._attempt_ms = attempt_ms
         self._leader: str | None = host if host in self._members else None
 
-    async def call(self, call: Call, request: Any, patience_ms: int, wait_ms: int = 0) -> Any:
+    async def call(self, call: RpcMethod, request: Any, patience_ms: int, wait_ms: int = 0) -> Any:
         """Call the leader, for up to `patience_ms` beyond the `wait_ms` it may hold the call."""
         until_ms = self._clock.now_ms() + patience_ms + wait_ms
         uncertain = False
@@ -90,17 +90,17 @@
             self._metrics.retried("not-leader" if reply is not None else "no-answer")
             await self._pause()
 
-    def _target(self) -> Member:
+    def _target(self) -> GroupHost:
         if self._leader in self._members:
             return self._members[self._leader]
         return self._rng.choice(list(self._members.values()))
 
-    def _turn_to(self, target: Member, reply: Any) -> None:
+    def _turn_to(self, target: GroupHost, reply: Any) -> None:
         hint = reply.refusal.leader if reply is not None else ""
         self._leader = hint if hint in self._members and hint != target.name else None
 
     async def _try(
-        self, call: Call, target: Member, request: Any, patience_ms: int, wait_ms: int
+        self, call: RpcMethod, target: GroupHost, request: Any, patience_ms: int, wait_ms: int
     ) -> tuple[Any, bool]:
         """Call one host; return its reply, or None and whether it may have got the call."""
         if target.name == self._host and call.local is not None:
@@ -134,9 +134,9 @@
 def _give_up(uncertain: bool, heard: bool) -> pb.Refusal:
     if uncertain:
         detail = "no answer came; ask again with the same key"
-        return refusal(RefusalReason.OUTCOME_UNKNOWN, detail, COME_BACK_MS)
+        return refusal(RefusalReason.OUTCOME_UNKNOWN, detail, RETRY_AFTER_MS)
     if heard:
         detail = "the hosts of the zone have no leader at present"
-        return refusal(RefusalReason.NO_LEADER, detail, COME_BACK_MS)
+        return refusal(RefusalReason.NO_LEADER, detail, RETRY_AFTER_MS)
     detail = "no host of the zone can be reached from here"
-    return refusal(RefusalReason.ZONE_UNREACHABLE, detail, COME_BACK_MS)
+    return refusal(RefusalReason.ZONE_UNREACHABLE, detail, RETRY_AFTER_MS)
--- a/packages/agateferry-service/agateferry_service/routing/tests/test_router.py
+++ b/packages/agateferry-service/agateferry_service/routing/tests/test_router.py
@@ -6,13 +6,13 @@
 from agateferry_core.clock import SystemClock
 from agateferry_core.metrics import Metrics
 from agateferry_core.support import run_async
-from agateferry_service.routing import Call, Channels, Router
-from agateferry_service.routing.router import Member
+from agateferry_service.routing import Channels, Router, RpcMethod
+from agateferry_service.routing.router import GroupHost
 from agateferry_service.rpc import cell_pb2 as pb
 
 
 def make_router():
-    members = [Member("a", "127.0.0.1:1"), Member("b", "127.0.0.1:2")]
+    members = [GroupHost("a", "127.0.0.1:1"), GroupHost("b", "127.0.0.1:2")]
     return Router("c", members, Channels(), SystemClock(), Metrics(), random.Random(1))
 
 
@@ -26,7 +26,9 @@
                 raise asyncio.CancelledError
             return pb.QueryReply(body="answer")
 
-        call = Call("query", lambda channel: method, lambda refusal: pb.QueryReply(refusal=refusal))
+        call = RpcMethod(
+            "query", lambda channel: method, lambda refusal: pb.QueryReply(refusal=refusal)
+        )
 
         async def main():
             return await make_router().call(call, pb.QueryRequest(), 5_000)
@@ -37,7 +39,9 @@
         async def method(request, **options):
             await asyncio.sleep(60)
 
-        call = Call("query", lambda channel: method, lambda refusal: pb.QueryReply(refusal=refusal))
+        call = RpcMethod(
+            "query", lambda channel: method, lambda refusal: pb.QueryReply(refusal=refusal)
+        )
 
         async def main():
             work = asyncio.create_task(make_router().call(call, pb.QueryRequest(), 5_000))
--- a/packages/agateferry-standins/agateferry_standins/capacity.py
+++ b/packages/agateferry-standins/agateferry_standins/capacity.py
@@ -13,7 +13,7 @@
 
 from agateferry_core.demand import Adjacency, Demand, Urgency
 from agateferry_service.cell.machine import CellMachine
-from agateferry_service.requests import Spec
+from agateferry_service.requests import RequestSpec
 from agateferry_service.requests.codec import spec_to_pb
 from agateferry_service.rpc import commands_pb2 as pb
 from agateferry_state.records import RecordPut, RecordStore, encode_revisions, parse_put
@@ -124,7 +124,7 @@
         pb.Placement(member=m, worker=f"worker-{m % 610}", incarnation="b7c1", accelerators=1)
         for m in range(members)
     ]
-    spec = Spec(
+    spec = RequestSpec(
         id=_id(number),
         team=f"team-{number % 49}",
         job="barn-count",
