--- a/packages/agateferry-service/agateferry_service/cell/admission.py
+++ b/packages/agateferry-service/agateferry_service/cell/admission.py
@@ -48,7 +48,7 @@
         )
 
 
-def pending_of(spec: RequestSpec, clock: Clock) -> PendingRequest:
+def to_pending_request(spec: RequestSpec, clock: Clock) -> PendingRequest:
     """Return a request as the scheduler sees it, its times on the monotonic clock."""
     offset_ms = clock.now_ms() - clock.wall_ms()
     return PendingRequest(
--- a/packages/agateferry-service/agateferry_service/cell/cell.py
+++ b/packages/agateferry-service/agateferry_service/cell/cell.py
@@ -4,14 +4,14 @@
 import contextlib
 
 from agateferry_service.cell.context import CellContext
-from agateferry_service.cell.decider import EventRecord
-from agateferry_service.cell.leader import CellLeader, SchedulerMaker
+from agateferry_service.cell.leader import CellLeader, SchedulerFactory
 from agateferry_service.cell.proposer import LOG_NAME
 from agateferry_service.cell.refusals import not_leader
+from agateferry_service.cell.scheduler_driver import EventRecorder
 from agateferry_service.cell.views import CellViews
 from agateferry_service.rpc import cell_pb2 as pb
 
-FOLLOW_EVERY_S = 0.25
+LEADERSHIP_CHECK_INTERVAL_S = 0.25
 
 
 class Cell:
@@ -21,30 +21,33 @@
     """
 
     def __init__(
-        self, ctx: CellContext, make_scheduler: SchedulerMaker, record: EventRecord | None = None
+        self,
+        ctx: CellContext,
+        make_scheduler: SchedulerFactory,
+        record_event: EventRecorder | None = None,
     ) -> None:
         self.ctx = ctx
-        self.leader = CellLeader(ctx, make_scheduler, record)
+        self.leader = CellLeader(ctx, make_scheduler, record_event)
         self._views = CellViews(self.leader)
-        self._follower: asyncio.Task[None] | None = None
+        self._follower_task: asyncio.Task[None] | None = None
         self._changed = asyncio.Event()
         ctx.machine.listeners.append(ctx.waiters.on_applied)
         ctx.replica.on_leadership(lambda leads, term: self._changed.set())
-        ctx.proposer.on_doubt = self._changed.set
+        ctx.proposer.on_outcome_uncertain = self._changed.set
 
     async def start(self) -> None:
         """Start the replica and follow its leadership."""
         await self.ctx.replica.start()
-        self._follower = asyncio.create_task(self._follow())
+        self._follower_task = asyncio.create_task(self._follow_leadership())
 
     async def stop(self) -> None:
         """Hand leadership on and stop taking part."""
         await self.ctx.replica.stop()
-        if self._follower is not None:
-            self._follower.cancel()
+        if self._follower_task is not None:
+            self._follower_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self._follower
-        await self.leader.end()
+                await self._follower_task
+        await self.leader.stop()
 
     async def submit(self, req: pb.SubmitRequest) -> pb.RequestReply:
         """Admit a request, if this host leads."""
@@ -75,7 +78,7 @@
         """
         if not self.leader.active:
             return pb.AnnounceReply(refusal=self._not_leader())
-        reply = await self.leader.watch.announce(req)
+        reply = await self.leader.worker_monitor.announce(req)
         return reply if self.leader.active else pb.AnnounceReply(refusal=self._not_leader())
 
     async def query(self, req: pb.QueryRequest) -> pb.QueryReply:
@@ -91,7 +94,7 @@
         leader = self.ctx.replica.leader
         return not_leader(None if leader == self.ctx.host else leader)
 
-    async def _follow(self) -> None:
+    async def _follow_leadership(self) -> None:
         """Watch leadership; a change of term ends the old leader's work before the new begins.
 
         So does a command without an outcome: the next beginning reads from the log what became
@@ -101,29 +104,29 @@
         while True:
             leads = self.ctx.replica.is_leader
             term = self.ctx.replica.term
-            doubtful = self.ctx.proposer.doubtful
-            if led_term and (doubtful or not leads or term != led_term):
-                await self.leader.end()
-                self.ctx.waiters.release()
+            outcome_uncertain = self.ctx.proposer.outcome_uncertain
+            if led_term and (outcome_uncertain or not leads or term != led_term):
+                await self.leader.stop()
+                self.ctx.waiters.wake_all()
                 led_term = 0
                 self.ctx.metrics.leader_changed(LOG_NAME, False)
             if not led_term:
-                self.ctx.proposer.doubtful = False
+                self.ctx.proposer.outcome_uncertain = False
             if leads and not led_term:
-                led_term = await self._begin(term)
-            await self._leadership_or_timeout()
+                led_term = await self._start_leading(term)
+            await self._wait_for_leadership_change()
 
-    async def _begin(self, term: int) -> int:
+    async def _start_leading(self, term: int) -> int:
         """Begin to lead and return the term; 0 when it failed, after a pause."""
-        if await self.leader.begin():
+        if await self.leader.start():
             self.ctx.metrics.leader_changed(LOG_NAME, True)
             return term
-        await asyncio.sleep(FOLLOW_EVERY_S)
+        await asyncio.sleep(LEADERSHIP_CHECK_INTERVAL_S)
         return 0
 
-    async def _leadership_or_timeout(self) -> None:
+    async def _wait_for_leadership_change(self) -> None:
         """Return when leadership changes, or soon, since a lease can lapse without a call."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(FOLLOW_EVERY_S):
+            async with asyncio.timeout(LEADERSHIP_CHECK_INTERVAL_S):
                 await self._changed.wait()
         self._changed.clear()
--- a/packages/agateferry-service/agateferry_service/cell/gauges.py
+++ b/packages/agateferry-service/agateferry_service/cell/gauges.py
@@ -15,8 +15,8 @@
         metrics.set_workers(state.value, workers[state])
     queued: Counter[Urgency] = Counter()
     running: Counter[Urgency] = Counter()
-    for request in machine.ledger.unended():
-        counted = running if request.holds_workers else queued
+    for request in machine.ledger.open_requests():
+        counted = running if request.has_active_attempt else queued
         counted[request.spec.urgency] += 1
     for urgency in Urgency:
         metrics.set_queued(urgency.value, queued[urgency])
--- a/packages/agateferry-service/agateferry_service/cell/leader.py
+++ b/packages/agateferry-service/agateferry_service/cell/leader.py
@@ -28,97 +28,106 @@
     Tick,
 )
 from agateferry_service.cell import events
-from agateferry_service.cell.admission import Admission, pending_of
-from agateferry_service.cell.attempts import Attempts
+from agateferry_service.cell.admission import Admission, to_pending_request
+from agateferry_service.cell.attempts import AttemptManager
 from agateferry_service.cell.context import CellContext
-from agateferry_service.cell.counting import count_end
-from agateferry_service.cell.decider import Decider, EventRecord
 from agateferry_service.cell.proposer import refusal_for_propose_error
 from agateferry_service.cell.refusals import RefusalReason, refusal
-from agateferry_service.cell.watch import WorkerWatch
-from agateferry_service.dispatch.messages import AttemptEnd
-from agateferry_service.requests import Outcome, OutcomeKind, Placement, Request, RequestSpec
+from agateferry_service.cell.request_metrics import count_request_end
+from agateferry_service.cell.scheduler_driver import EventRecorder, SchedulerDriver
+from agateferry_service.cell.worker_monitor import WorkerMonitor
+from agateferry_service.dispatch.messages import AttemptOutcome
+from agateferry_service.requests import (
+    CommandResult,
+    CommandResultKind,
+    Placement,
+    Request,
+    RequestSpec,
+)
 from agateferry_service.requests.codec import placement_to_pb, spec_to_pb, view_to_pb
 from agateferry_service.rpc import cell_pb2, commands_pb2
 from agateferry_state.replica import ProposeError
 
-SchedulerMaker = Callable[[str], Scheduler]
+SchedulerFactory = Callable[[str], Scheduler]
 
 
 class CellLeader:
     """Serve a zone while this host leads its cell."""
 
     def __init__(
-        self, ctx: CellContext, make_scheduler: SchedulerMaker, record: EventRecord | None = None
+        self,
+        ctx: CellContext,
+        make_scheduler: SchedulerFactory,
+        record_event: EventRecorder | None = None,
     ) -> None:
         self.ctx = ctx
-        self._record = record
+        self._record_event = record_event
         self._make_scheduler = make_scheduler
-        self._decider: Decider | None = None
-        self.attempts = Attempts(ctx, self.decider)
-        self.watch = WorkerWatch(ctx, self.attempts, self.decider)
+        self._driver: SchedulerDriver | None = None
+        self.attempts = AttemptManager(ctx, self.driver)
+        self.worker_monitor = WorkerMonitor(ctx, self.attempts, self.driver)
         self.quarantined: dict[str, str] = {}
         self.at_risk: tuple[str, ...] = ()
         self.background_tasks: list[Callable[[], Coroutine[Any, Any, None]]] = []
-        self._revision_told = -1
+        self._notified_revision = -1
 
     @property
     def active(self) -> bool:
         """Tell whether this host serves as the leader now."""
-        return self._decider is not None and self.ctx.replica.is_leader
+        return self._driver is not None and self.ctx.replica.is_leader
 
-    def decider(self) -> Decider:
+    def driver(self) -> SchedulerDriver:
         """Return the scheduler's driver; there is one only while this host leads."""
-        if self._decider is None:
+        if self._driver is None:
             raise RuntimeError("the scheduler was asked for while this host does not lead")
-        return self._decider
+        return self._driver
 
-    async def begin(self) -> bool:
+    async def start(self) -> bool:
         """Take up what the log says; return False when leadership was lost meanwhile.
 
         A command that changes nothing goes through the log first, so that every command which this
         host proposed before and whose outcome it did not learn has been applied or never will be.
         """
-        settle = commands_pb2.Forget(ended_before_wall_ms=0)
-        if (await self.ctx.proposer.propose(forget=settle)).is_error():
+        barrier = commands_pb2.Forget(ended_before_wall_ms=0)
+        if (await self.ctx.proposer.propose(forget=barrier)).is_error():
             return False
-        self.attempts = Attempts(self.ctx, self.decider)
-        self.watch = WorkerWatch(self.ctx, self.attempts, self.decider)
+        self.attempts = AttemptManager(self.ctx, self.driver)
+        self.worker_monitor = WorkerMonitor(self.ctx, self.attempts, self.driver)
         scheduler = self._make_scheduler(self.ctx.machine.zone)
-        self._decider = Decider(scheduler, self.ctx.clock, self, self._record)
+        self._driver = SchedulerDriver(scheduler, self.ctx.clock, self, self._record_event)
         self.ctx.log.info(events.LEADING, term=self.ctx.replica.term)
-        self._tell_records()
-        self.watch.begin()
+        self._notify_records_changed()
+        self.worker_monitor.start()
         self._resume_requests()
-        for work in (self._tick_for_ever, *self.background_tasks):
+        for work in (self._run_periodic_work, *self.background_tasks):
             self.ctx.tasks.spawn(work())
         return True
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """Drop all that belongs to leading; what runs on workers goes on."""
-        if self._decider is None:
+        if self._driver is None:
             return
         await self.ctx.tasks.cancel_all()
-        self._decider = None
-        self._revision_told = -1
+        self._driver = None
+        self._notified_revision = -1
         self.ctx.log.info(events.NOT_LEADING)
 
     async def submit(self, req: cell_pb2.SubmitRequest) -> cell_pb2.RequestReply:
         """Admit a request, store it and, if asked, wait for its end."""
-        self._tell_records()
+        self._notify_records_changed()
         admitted = self._admission().admit(req)
         if isinstance(admitted, cell_pb2.Refusal):
             return cell_pb2.RequestReply(refusal=admitted)
-        known = self._known(admitted)
+        known = self._find_existing(admitted)
         if known is not None:
             return await self._reply_to_resend(known, admitted, req.wait_ms)
-        return await self._store_new(admitted, req.wait_ms)
+        return await self._accept_new(admitted, req.wait_ms)
 
     async def get_request(self, req: cell_pb2.LookRequest) -> cell_pb2.RequestReply:
         """Return a request, at its end or after the wait that was asked for."""
         request = self.ctx.machine.ledger.get(req.request_id)
         if request is None:
-            return _unknown(req.request_id)
+            return _unknown_request_reply(req.request_id)
         return await self._reply(request, req.wait_ms)
 
     async def cancel(self, req: cell_pb2.CancelRequest) -> cell_pb2.RequestReply:
@@ -126,29 +135,29 @@
         command = commands_pb2.RequestCancel(
             request_id=req.request_id, wall_ms=self.ctx.clock.wall_ms()
         )
-        result = await self.ctx.proposer.propose(cancel=command)
-        if result.is_error():
-            return cell_pb2.RequestReply(refusal=refusal_for_propose_error(result.error))
-        outcome = result.ok
-        if not isinstance(outcome, Outcome) or outcome.request is None:
-            return _unknown(req.request_id)
-        request = outcome.request
-        if outcome.kind is OutcomeKind.DONE:
-            self._carry_out_cancel(request)
+        proposed = await self.ctx.proposer.propose(cancel=command)
+        if proposed.is_error():
+            return cell_pb2.RequestReply(refusal=refusal_for_propose_error(proposed.error))
+        result = proposed.ok
+        if not isinstance(result, CommandResult) or result.request is None:
+            return _unknown_request_reply(req.request_id)
+        request = result.request
+        if result.kind is CommandResultKind.DONE:
+            self._execute_cancel(request)
         return await self._reply(request, self.ctx.times.cancel_wait_ms)
 
-    def carry_out(self, decision: Decision) -> None:
+    def execute(self, decision: Decision) -> None:
         """Begin to carry out one decision of the scheduler."""
         match decision:
             case Start():
                 self.ctx.tasks.spawn(self._place(decision))
             case Preempt(request_id=request_id, for_request_id=for_id):
                 self.ctx.log.info(events.PREEMPTING, request=request_id, for_request=for_id)
-                self.attempts.stop(request_id, AttemptEnd.PREEMPTED)
+                self.attempts.stop(request_id, AttemptOutcome.PREEMPTED)
             case Reject():
                 self.ctx.tasks.spawn(self._give_up(decision))
             case Quarantine(worker=worker, lifted=lifted, detail=detail):
-                self._note_quarantine(worker, lifted, detail)
+                self._record_quarantine(worker, lifted, detail)
             case GuaranteeAtRisk(teams=teams, detail=detail):
                 self.at_risk = teams
                 self.ctx.log.warning(events.GUARANTEE_AT_RISK, teams=list(teams), detail=detail)
@@ -156,7 +165,7 @@
     def _admission(self) -> Admission:
         return Admission(self.ctx.catalog, self.ctx.clock)
 
-    def _known(self, spec: RequestSpec) -> Request | None:
+    def _find_existing(self, spec: RequestSpec) -> Request | None:
         ledger = self.ctx.machine.ledger
         by_key = ledger.by_key(spec.team, spec.key) if spec.key else None
         return ledger.get(spec.id) or by_key
@@ -169,24 +178,25 @@
             return self._refuse(RefusalReason.KEY_REUSED, detail)
         return await self._reply(known, wait_ms)
 
-    async def _store_new(self, spec: RequestSpec, wait_ms: int) -> cell_pb2.RequestReply:
+    async def _accept_new(self, spec: RequestSpec, wait_ms: int) -> cell_pb2.RequestReply:
         """Ask the scheduler first, so that a refusal stores nothing, and store what it decided."""
-        decision = self.decider().feed_new(pending_of(spec, self.ctx.clock))
+        decision = self.driver().queue_request(to_pending_request(spec, self.ctx.clock))
         if isinstance(decision, Reject):
             return self._refuse(decision.reason, decision.detail, decision.retry_after_ms or 0)
         placements = self._placements(decision.assignments) if decision else ()
         command = commands_pb2.Accept(
-            spec=spec_to_pb(spec), placements=[placement_to_pb(place) for place in placements]
+            spec=spec_to_pb(spec),
+            placements=[placement_to_pb(placement) for placement in placements],
         )
-        result = await self.ctx.proposer.propose(accept=command)
-        if result.is_error():
-            return await self._refuse_unstored(spec, decision, result.error)
-        outcome = result.ok
-        if not isinstance(outcome, Outcome) or outcome.request is None:
+        proposed = await self.ctx.proposer.propose(accept=command)
+        if proposed.is_error():
+            return await self._refuse_uncommitted(spec, decision, proposed.error)
+        result = proposed.ok
+        if not isinstance(result, CommandResult) or result.request is None:
             raise TypeError("the ledger gave no outcome for an accepted request")
-        request = outcome.request
-        if outcome.kind is not OutcomeKind.DONE:
-            self._retract(spec.id, decision)
+        request = result.request
+        if result.kind is not CommandResultKind.DONE:
+            self._withdraw(spec.id, decision)
             return await self._reply_to_resend(request, spec, wait_ms)
         self.ctx.metrics.accepted(request.spec.urgency.value)
         self.ctx.log.info(events.ACCEPTED, request=request.id, team=spec.team, job=spec.job)
@@ -194,24 +204,24 @@
             self._launch(request)
         return await self._reply(request, wait_ms)
 
-    async def _refuse_unstored(
+    async def _refuse_uncommitted(
         self, spec: RequestSpec, decision: Start | None, error: ProposeError
     ) -> cell_pb2.RequestReply:
-        if self._decider is not None:
-            self._retract(spec.id, decision)
+        if self._driver is not None:
+            self._withdraw(spec.id, decision)
         refused = refusal_for_propose_error(error)
         self.ctx.metrics.refused(refused.reason)
         return cell_pb2.RequestReply(refusal=refused)
 
-    def _retract(self, request_id: str, decision: Start | None) -> None:
+    def _withdraw(self, request_id: str, decision: Start | None) -> None:
         """Take back what the scheduler was told of a request that did not come about."""
         if decision is None:
-            self.decider().feed(RequestWithdrawn(request_id))
+            self.driver().feed(RequestWithdrawn(request_id))
         else:
-            self.decider().feed(RequestEnded(request_id, EndReason.CANCELLED, 0))
+            self.driver().feed(RequestEnded(request_id, EndReason.CANCELLED, 0))
 
     def _launch(self, request: Request) -> None:
-        workers = [place.worker for place in request.placements]
+        workers = [placement.worker for placement in request.placements]
         fields = {"request": request.id, "team": request.spec.team, "attempt": request.attempt}
         self.ctx.log.info(events.PLACED, workers=workers, **fields)
         waited_ms = self.ctx.clock.wall_ms() - request.spec.submitted_wall_ms
@@ -232,18 +242,22 @@
         command = commands_pb2.Place(
             request_id=decision.request_id,
             attempt=known.attempt + 1 if known else 1,
-            placements=[placement_to_pb(p) for p in self._placements(decision.assignments)],
+            placements=[
+                placement_to_pb(placement) for placement in self._placements(decision.assignments)
+            ],
         )
-        result = await self.ctx.proposer.propose(place=command)
-        if result.is_error() or self._decider is None:
+        proposed = await self.ctx.proposer.propose(place=command)
+        if proposed.is_error() or self._driver is None:
             return
-        outcome = result.ok
-        placed = outcome if isinstance(outcome, Outcome) else Outcome(OutcomeKind.STALE)
-        if placed.request is not None and placed.kind is OutcomeKind.DONE:
+        result = proposed.ok
+        placed = (
+            result if isinstance(result, CommandResult) else CommandResult(CommandResultKind.STALE)
+        )
+        if placed.request is not None and placed.kind is CommandResultKind.DONE:
             self._launch(placed.request)
             return
-        self.attempts.forget_stop(decision.request_id)
-        self.decider().feed(RequestEnded(decision.request_id, EndReason.CANCELLED, 0))
+        self.attempts.discard_pending_stop(decision.request_id)
+        self.driver().feed(RequestEnded(decision.request_id, EndReason.CANCELLED, 0))
 
     async def _give_up(self, decision: Reject) -> None:
         command = commands_pb2.GiveUp(
@@ -252,26 +266,30 @@
             detail=decision.detail,
             wall_ms=self.ctx.clock.wall_ms(),
         )
-        result = await self.ctx.proposer.propose(give_up=command)
-        if result.is_ok() and isinstance(result.ok, Outcome) and result.ok.request is not None:
-            count_end(self.ctx.metrics, result.ok.request)
-
-    def _carry_out_cancel(self, request: Request) -> None:
+        proposed = await self.ctx.proposer.propose(give_up=command)
+        if (
+            proposed.is_ok()
+            and isinstance(proposed.ok, CommandResult)
+            and proposed.ok.request is not None
+        ):
+            count_request_end(self.ctx.metrics, proposed.ok.request)
+
+    def _execute_cancel(self, request: Request) -> None:
         if request.ended:
-            count_end(self.ctx.metrics, request)
-            self.decider().feed(RequestWithdrawn(request.id))
+            count_request_end(self.ctx.metrics, request)
+            self.driver().feed(RequestWithdrawn(request.id))
         else:
-            self.attempts.stop(request.id, AttemptEnd.CANCELLED)
+            self.attempts.stop(request.id, AttemptOutcome.CANCELLED)
 
     async def _reply(self, request: Request, wait_ms: int) -> cell_pb2.RequestReply:
-        await self.ctx.waiters.until_ended(request, wait_ms)
+        await self.ctx.waiters.wait_until_ended(request, wait_ms)
         return cell_pb2.RequestReply(view=view_to_pb(request))
 
     def _refuse(self, reason: str, detail: str, retry_after_ms: int = 0) -> cell_pb2.RequestReply:
         self.ctx.metrics.refused(reason)
         return cell_pb2.RequestReply(refusal=refusal(reason, detail, retry_after_ms))
 
-    def _note_quarantine(self, worker: str, lifted: bool, detail: str) -> None:
+    def _record_quarantine(self, worker: str, lifted: bool, detail: str) -> None:
         self.ctx.metrics.quarantined(lifted)
         if lifted:
             self.quarantined.pop(worker, None)
@@ -281,48 +299,48 @@
 
     def _resume_requests(self) -> None:
         """Tell the scheduler of every request that has no end yet, those that run first."""
-        unended = list(self.ctx.machine.ledger.unended())
+        open_requests = list(self.ctx.machine.ledger.open_requests())
         now_ms = self.ctx.clock.now_ms()
-        for request in unended:
-            if request.holds_workers:
-                self.decider().feed(self._running_event(request, now_ms))
+        for request in open_requests:
+            if request.has_active_attempt:
+                self.driver().feed(self._running_event(request, now_ms))
                 self.attempts.launch(request, resumed=True)
-        for request in unended:
-            if not request.holds_workers:
-                self.decider().feed(RequestQueued(self._pending(request)))
+        for request in open_requests:
+            if not request.has_active_attempt:
+                self.driver().feed(RequestQueued(self._pending(request)))
 
     def _running_event(self, request: Request, now_ms: int) -> RequestRunning:
         assignments = tuple(
-            Assignment(place.member, place.worker, place.accelerators)
-            for place in request.placements
+            Assignment(placement.member, placement.worker, placement.accelerators)
+            for placement in request.placements
         )
         return RequestRunning(self._pending(request), assignments, now_ms)
 
     def _pending(self, request: Request) -> PendingRequest:
-        return pending_of(request.spec, self.ctx.clock)
+        return to_pending_request(request.spec, self.ctx.clock)
 
-    async def _tick_for_ever(self) -> None:
+    async def _run_periodic_work(self) -> None:
         """Let time pass for the scheduler, silent workers, records and old answers."""
         forget_at_ms = self.ctx.clock.now_ms() + self.ctx.times.forget_every_ms
         while True:
             await asyncio.sleep(self.ctx.times.tick_ms / 1000)
-            self._tell_records()
-            self.decider().feed(Tick())
-            await self.watch.lose_silent()
+            self._notify_records_changed()
+            self.driver().feed(Tick())
+            await self.worker_monitor.mark_silent_workers_lost()
             if self.ctx.clock.now_ms() >= forget_at_ms:
                 forget_at_ms = self.ctx.clock.now_ms() + self.ctx.times.forget_every_ms
-                await self._forget_old()
+                await self._forget_old_requests()
 
-    def _tell_records(self) -> None:
+    def _notify_records_changed(self) -> None:
         """Tell the scheduler of teams and configuration when a newer revision is in force."""
         revision = self.ctx.machine.records.revision
-        if revision == self._revision_told:
+        if revision == self._notified_revision:
             return
-        self._revision_told = revision
-        self.decider().feed(ConfigChanged(self.ctx.catalog.scheduling()))
-        self.decider().feed(TeamsChanged(self.ctx.catalog.teams()))
+        self._notified_revision = revision
+        self.driver().feed(ConfigChanged(self.ctx.catalog.scheduling()))
+        self.driver().feed(TeamsChanged(self.ctx.catalog.teams()))
 
-    async def _forget_old(self) -> None:
+    async def _forget_old_requests(self) -> None:
         before_wall_ms = self.ctx.clock.wall_ms() - self.ctx.times.answer_keep_ms
         oldest = self.ctx.machine.ledger.oldest_end_wall_ms()
         if oldest is not None and oldest < before_wall_ms:
@@ -330,6 +348,6 @@
             await self.ctx.proposer.propose(forget=command)
 
 
-def _unknown(request_id: str) -> cell_pb2.RequestReply:
+def _unknown_request_reply(request_id: str) -> cell_pb2.RequestReply:
     detail = f"no request {request_id} is known; it may have been forgotten"
     return cell_pb2.RequestReply(refusal=refusal(RefusalReason.UNKNOWN_REQUEST, detail))
--- a/packages/agateferry-service/agateferry_service/cell/machine.py
+++ b/packages/agateferry-service/agateferry_service/cell/machine.py
@@ -25,10 +25,10 @@
     def apply(self, index: int, command: bytes) -> Any:
         """Apply one command and return the outcome of the part that it belongs to."""
         message = pb.Command.FromString(command)
-        outcome = self._apply_message(message)
+        result = self._apply_message(message)
         for listener in self.listeners:
-            listener(message, outcome)
-        return outcome
+            listener(message, result)
+        return result
 
     def snapshot(self) -> bytes:
         """Return the whole state as one message."""
--- a/packages/agateferry-service/agateferry_service/cell/proposer.py
+++ b/packages/agateferry-service/agateferry_service/cell/proposer.py
@@ -22,13 +22,13 @@
     def __init__(self, replica: Replica, metrics: Metrics) -> None:
         self._replica = replica
         self._metrics = metrics
-        self.doubtful = False
-        self.on_doubt: Callable[[], None] = lambda: None
+        self.outcome_uncertain = False
+        self.on_outcome_uncertain: Callable[[], None] = lambda: None
 
-    def doubt(self) -> None:
+    def mark_outcome_uncertain(self) -> None:
         """Have the leader's view built anew from the log."""
-        self.doubtful = True
-        self.on_doubt()
+        self.outcome_uncertain = True
+        self.on_outcome_uncertain()
 
     async def propose(self, **command: object) -> Result[object, ProposeError]:
         """Propose one command, named by its field, and return the machine's outcome.
@@ -38,7 +38,7 @@
         message = commands_pb2.Command(**command)  # type: ignore[arg-type]
         result = await self._replica.propose(message.SerializeToString())
         if result.is_error():
-            self.doubt()
+            self.mark_outcome_uncertain()
             self._metrics.proposed(LOG_NAME, result.error.kind.value)
             return Error(result.error)
         self._metrics.proposed(LOG_NAME, "applied")
--- a/packages/agateferry-service/agateferry_service/cell/decider.py
+++ b/packages/agateferry-service/agateferry_service/cell/scheduler_driver.py
@@ -15,17 +15,17 @@
     Start,
 )
 
-EventRecord = Callable[[SchedulerEvent, int], None]
+EventRecorder = Callable[[SchedulerEvent, int], None]
 
 
 class DecisionHandler(Protocol):
     """Carry decisions out; a handler must not feed the scheduler before it returns."""
 
-    def carry_out(self, decision: Decision) -> None:
+    def execute(self, decision: Decision) -> None:
         """Begin to carry out one decision."""
 
 
-class Decider:
+class SchedulerDriver:
     """Feed events to a scheduler and pass its decisions on, in order."""
 
     def __init__(
@@ -33,27 +33,27 @@
         scheduler: Scheduler,
         clock: Clock,
         handler: DecisionHandler,
-        record: EventRecord | None = None,
+        record_event: EventRecorder | None = None,
     ) -> None:
         self._scheduler = scheduler
         self._clock = clock
         self._handler = handler
-        self._record = record
+        self._record_event = record_event
 
     def feed(self, event: SchedulerEvent) -> None:
         """Take an event in and carry out all that follows."""
         for decision in self._step(event):
-            self._handler.carry_out(decision)
+            self._handler.execute(decision)
 
-    def feed_new(self, request: PendingRequest) -> Start | Reject | None:
+    def queue_request(self, request: PendingRequest) -> Start | Reject | None:
         """Queue a new request and return what was decided on it at once, not carried out."""
-        own: Start | Reject | None = None
+        own_decision: Start | Reject | None = None
         for decision in self._step(RequestQueued(request)):
             if isinstance(decision, Start | Reject) and decision.request_id == request.request_id:
-                own = decision
+                own_decision = decision
             else:
-                self._handler.carry_out(decision)
-        return own
+                self._handler.execute(decision)
+        return own_decision
 
     def explain(self, request_id: str) -> Explanation:
         """Tell why a request is where it is."""
@@ -61,6 +61,6 @@
 
     def _step(self, event: SchedulerEvent) -> list[Decision]:
         now_ms = self._clock.now_ms()
-        if self._record is not None:
-            self._record(event, now_ms)
+        if self._record_event is not None:
+            self._record_event(event, now_ms)
         return self._scheduler.step(event, now_ms)
--- a/packages/agateferry-service/agateferry_service/cell/servicer.py
+++ b/packages/agateferry-service/agateferry_service/cell/servicer.py
@@ -23,7 +23,7 @@
 
     def __init__(self, cell: Cell) -> None:
         self._cell = cell
-        self._under_way: set[asyncio.Task[Any]] = set()
+        self._running_calls: set[asyncio.Task[Any]] = set()
 
     async def Submit(self, request: pb.SubmitRequest, context: Any) -> pb.RequestReply:
         """Admit a request."""
@@ -45,12 +45,12 @@
         """Answer an operator's question."""
         return await self._serve(request, self._cell.query(request))
 
-    async def _serve(self, request: Message, work: Coroutine[Any, Any, Reply]) -> Reply:
+    async def _serve(self, request: Message, handler: Coroutine[Any, Any, Reply]) -> Reply:
         """Do the work of a call to its end, and count the bytes that it moved."""
         count_received(request.ByteSize())
-        task = asyncio.get_running_loop().create_task(work)
-        self._under_way.add(task)
-        task.add_done_callback(self._under_way.discard)
+        task = asyncio.get_running_loop().create_task(handler)
+        self._running_calls.add(task)
+        task.add_done_callback(self._running_calls.discard)
         reply = await asyncio.shield(task)
         count_sent(reply.ByteSize())
         return reply
--- a/packages/agateferry-service/agateferry_service/cell/tests/support.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/support.py
@@ -105,14 +105,14 @@
                 self.finish(order.lease)
         return self._answer(address, order.lease)
 
-    async def look(self, address, lease):
+    async def get_lease(self, address, lease):
         if address not in self.silent and lease not in self.leases:
             return Error(WorkerError(WorkerErrorKind.UNKNOWN_LEASE))
         return self._answer(address, lease)
 
-    async def act(self, address, lease, verb, reason=""):
+    async def control(self, address, lease, action, reason=""):
         known = self.leases.get(lease)
-        if verb == "stop" and (known is None or not known.final):
+        if action == "stop" and (known is None or not known.final):
             self._put(lease, LeaseState.STOPPED)
         return self._answer(address, lease)
 
--- a/packages/agateferry-service/agateferry_service/cell/tests/test_cell.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/test_cell.py
@@ -195,7 +195,7 @@
                 query = pb.LookRequest(request_id="z.1", wait_ms=60_000)
                 held = asyncio.create_task(cell.get_request(query))
                 await asyncio.sleep(0)
-                workers.act = lambda *call: asyncio.sleep(60)
+                workers.control = lambda *call: asyncio.sleep(60)
                 cancel = asyncio.create_task(cell.cancel(pb.CancelRequest(request_id="z.1")))
                 await until(lambda: cell.ctx.machine.ledger.get("z.1").cancelling)
                 cell.ctx.replica.is_leader = False
@@ -244,7 +244,7 @@
                 await until(lambda: not cell.leader.active)
                 cell.ctx.replica.failing = None
                 query = pb.LookRequest(request_id="z.1", wait_ms=2_000)
-                await until(lambda: cell.leader.active and not cell.ctx.proposer.doubtful)
+                await until(lambda: cell.leader.active and not cell.ctx.proposer.outcome_uncertain)
                 return (await cell.get_request(query)).view.state
 
         self.assertEqual("finished", run_async(main()))
@@ -303,7 +303,7 @@
                 few = (await cell.announce(announcement("w1"))).heartbeat_ms
                 for number in range(102):
                     reply = await cell.announce(announcement(f"x{number}"))
-                return few, reply.heartbeat_ms, cell.leader.watch.silence_ms()
+                return few, reply.heartbeat_ms, cell.leader.worker_monitor.silence_timeout_ms()
 
         few, many, silence = run_async(main())
         self.assertEqual((2_000, 20_800), (few, many))
--- a/packages/agateferry-service/agateferry_service/cell/views.py
+++ b/packages/agateferry-service/agateferry_service/cell/views.py
@@ -9,7 +9,7 @@
 from agateferry_service.endpoints.registry import RegisteredWorker
 from agateferry_service.rpc import cell_pb2 as pb
 
-MAX_LISTED = 1_000
+MAX_QUEUE_ENTRIES = 1_000
 
 
 class CellViews:
@@ -34,16 +34,16 @@
 
     def _workers(self) -> list[dict[str, Any]]:
         machine = self._leader.ctx.machine
-        held: dict[str, tuple[int, int]] = {}
-        for request in machine.ledger.unended():
-            for place in request.placements:
-                slots, accelerators = held.get(place.worker, (0, 0))
-                held[place.worker] = (slots + 1, accelerators + place.accelerators)
-        return [self._worker(item, held.get(item.worker.name, (0, 0))) for item in machine.registry]
+        used: dict[str, tuple[int, int]] = {}
+        for request in machine.ledger.open_requests():
+            for placement in request.placements:
+                slots, accelerators = used.get(placement.worker, (0, 0))
+                used[placement.worker] = (slots + 1, accelerators + placement.accelerators)
+        return [self._worker(item, used.get(item.worker.name, (0, 0))) for item in machine.registry]
 
-    def _worker(self, registered: RegisteredWorker, held: tuple[int, int]) -> dict[str, Any]:
+    def _worker(self, registered: RegisteredWorker, used: tuple[int, int]) -> dict[str, Any]:
         worker = registered.worker
-        heard_ms = self._leader.watch.heard_ms(worker.name)
+        last_heartbeat_ms = self._leader.worker_monitor.last_heartbeat_ms(worker.name)
         now_ms = self._leader.ctx.clock.now_ms()
         quarantined = worker.name in self._leader.quarantined
         return {
@@ -52,19 +52,19 @@
             "rack": worker.rack,
             "state": registered.state.value,
             "accelerators": worker.accelerators,
-            "accelerators_free": worker.accelerators - held[1],
+            "accelerators_free": worker.accelerators - used[1],
             "slots": worker.slots,
-            "slots_free": worker.slots - held[0],
-            "last_seen_ms": None if heard_ms is None else now_ms - heard_ms,
+            "slots_free": worker.slots - used[0],
+            "last_seen_ms": None if last_heartbeat_ms is None else now_ms - last_heartbeat_ms,
             "health": "quarantined" if quarantined else "healthy",
         }
 
     def _teams(self) -> list[dict[str, Any]]:
         counts: dict[str, list[int]] = {}
-        for request in self._leader.ctx.machine.ledger.unended():
+        for request in self._leader.ctx.machine.ledger.open_requests():
             team = counts.setdefault(request.spec.team, [0, 0, 0])
-            team[0] += sum(place.accelerators for place in request.placements)
-            team[1 if request.holds_workers else 2] += 1
+            team[0] += sum(placement.accelerators for placement in request.placements)
+            team[1 if request.has_active_attempt else 2] += 1
         return [
             {
                 "name": team.name,
@@ -80,8 +80,8 @@
     def _queue(self) -> list[dict[str, Any]]:
         wall_ms = self._leader.ctx.clock.wall_ms()
         listed: list[dict[str, Any]] = []
-        for request in self._leader.ctx.machine.ledger.unended():
-            if len(listed) == MAX_LISTED:
+        for request in self._leader.ctx.machine.ledger.open_requests():
+            if len(listed) == MAX_QUEUE_ENTRIES:
                 break
             listed.append(
                 {
@@ -100,7 +100,7 @@
         if request is None:
             detail = f"no request {request_id} is known"
             return pb.QueryReply(refusal=refusal(RefusalReason.UNKNOWN_REQUEST, detail))
-        explanation = asdict(self._leader.decider().explain(request_id))
+        explanation = asdict(self._leader.driver().explain(request_id))
         explanation["state"] = request.state.value
         return _reply(explanation)
 
--- a/packages/agateferry-service/agateferry_service/cell/waiters.py
+++ b/packages/agateferry-service/agateferry_service/cell/waiters.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Any
 
-from agateferry_service.requests import Outcome, Request
+from agateferry_service.requests import CommandResult, Request
 from agateferry_service.rpc import commands_pb2 as pb
 
 
@@ -17,15 +17,15 @@
         self._events: dict[str, asyncio.Event] = {}
         self._counts: dict[str, int] = {}
 
-    def on_applied(self, command: pb.Command, outcome: Any) -> None:
+    def on_applied(self, command: pb.Command, result: Any) -> None:
         """Take in one applied command."""
-        if not isinstance(outcome, Outcome) or outcome.request is None:
+        if not isinstance(result, CommandResult) or result.request is None:
             return
-        event = self._events.get(outcome.request.id)
-        if event is not None and outcome.request.ended:
+        event = self._events.get(result.request.id)
+        if event is not None and result.request.ended:
             event.set()
 
-    async def until_ended(self, request: Request, wait_ms: int) -> None:
+    async def wait_until_ended(self, request: Request, wait_ms: int) -> None:
         """Return when the request has ended, or after `wait_ms` milliseconds."""
         if request.ended or wait_ms <= 0:
             return
@@ -37,14 +37,14 @@
         except TimeoutError:
             return
         finally:
-            self._leave(request.id)
+            self._remove_waiter(request.id)
 
-    def release(self) -> None:
+    def wake_all(self) -> None:
         """Let all who wait go on, because this host can no longer tell them the end."""
         for event in self._events.values():
             event.set()
 
-    def _leave(self, request_id: str) -> None:
+    def _remove_waiter(self, request_id: str) -> None:
         self._counts[request_id] -= 1
         if self._counts[request_id] == 0:
             del self._counts[request_id]
--- a/packages/agateferry-service/agateferry_service/cell/watch.py
+++ b/packages/agateferry-service/agateferry_service/cell/worker_monitor.py
@@ -9,10 +9,10 @@
     WorkerLost,
 )
 from agateferry_service.cell import events
-from agateferry_service.cell.attempts import Attempts
+from agateferry_service.cell.attempts import AttemptManager
 from agateferry_service.cell.context import CellContext
-from agateferry_service.cell.decider import Decider
 from agateferry_service.cell.proposer import refusal_for_propose_error
+from agateferry_service.cell.scheduler_driver import SchedulerDriver
 from agateferry_service.dispatch.messages import FINAL_LEASE_STATES
 from agateferry_service.endpoints.registry import (
     RegisteredWorker,
@@ -26,7 +26,7 @@
 FINAL_STATES = frozenset(state.value for state in FINAL_LEASE_STATES)
 
 
-class WorkerWatch:
+class WorkerMonitor:
     """Keep the leader's view of workers: who was heard of when, and who is lost.
 
     The times of heartbeats are this leader's own; only changes of a worker go to the log. A new
@@ -34,36 +34,36 @@
     """
 
     def __init__(
-        self, ctx: CellContext, attempts: Attempts, decider: Callable[[], Decider]
+        self, ctx: CellContext, attempts: AttemptManager, driver: Callable[[], SchedulerDriver]
     ) -> None:
         self._ctx = ctx
         self._attempts = attempts
-        self._decider = decider
-        self._heard_ms: dict[str, int] = {}
+        self._driver = driver
+        self._last_heartbeat_ms: dict[str, int] = {}
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Count every worker as heard of now, and tell the scheduler of all of them."""
         now_ms = self._ctx.clock.now_ms()
-        self._heard_ms.clear()
+        self._last_heartbeat_ms.clear()
         for registered in self._ctx.machine.registry:
             if registered.state is not WorkerState.LOST:
-                self._heard_ms[registered.worker.name] = now_ms
-                self._tell_scheduler(registered)
+                self._last_heartbeat_ms[registered.worker.name] = now_ms
+                self._notify_scheduler(registered)
 
-    def heard_ms(self, worker: str) -> int | None:
+    def last_heartbeat_ms(self, worker: str) -> int | None:
         """Return when a worker was last heard of, on the monotonic clock."""
-        return self._heard_ms.get(worker)
+        return self._last_heartbeat_ms.get(worker)
 
     async def announce(self, req: pb.AnnounceRequest) -> pb.AnnounceReply:
         """Take an announcement in and tell the worker which leases to stop or to release."""
-        self._heard_ms[req.worker.name] = self._ctx.clock.now_ms()
+        self._last_heartbeat_ms[req.worker.name] = self._ctx.clock.now_ms()
         refused = await self._store_change(req)
         if refused is not None:
             return pb.AnnounceReply(refusal=refused)
         self._report_usage(req)
         reply = pb.AnnounceReply(heartbeat_ms=self.heartbeat_ms())
         for lease in req.leases:
-            self._take_lease(lease, reply)
+            self._handle_lease_report(lease, reply)
         return reply
 
     def heartbeat_ms(self) -> int:
@@ -72,30 +72,34 @@
         The more workers there are, the less often, so that heartbeats cost the leader the same.
         """
         times = self._ctx.times
-        even_ms = len(self._heard_ms) * MS_PER_S // times.max_announcements_per_s
-        return max(times.worker_heartbeat_ms, even_ms)
+        interval_ms = len(self._last_heartbeat_ms) * MS_PER_S // times.max_announcements_per_s
+        return max(times.worker_heartbeat_ms, interval_ms)
 
-    def silence_ms(self) -> int:
+    def silence_timeout_ms(self) -> int:
         """Return after how long a worker counts as lost: as many heartbeats as are configured."""
         times = self._ctx.times
         return times.worker_silence_ms * self.heartbeat_ms() // times.worker_heartbeat_ms
 
-    async def lose_silent(self) -> None:
+    async def mark_silent_workers_lost(self) -> None:
         """Give up workers that have not been heard of for too long."""
         now_ms = self._ctx.clock.now_ms()
-        silence_ms = self.silence_ms()
-        silent = [name for name, heard in self._heard_ms.items() if now_ms - heard > silence_ms]
+        silence_timeout_ms = self.silence_timeout_ms()
+        silent = [
+            name
+            for name, seen_ms in self._last_heartbeat_ms.items()
+            if now_ms - seen_ms > silence_timeout_ms
+        ]
         for name in silent:
-            await self._lose(name)
+            await self._mark_lost(name)
 
-    async def _lose(self, name: str) -> None:
-        self._heard_ms.pop(name, None)
+    async def _mark_lost(self, name: str) -> None:
+        self._last_heartbeat_ms.pop(name, None)
         registered = self._ctx.machine.registry.get(name)
         if registered is None:
             return
         self._ctx.log.warning(events.WORKER_LOST, worker=name)
-        self._decider().feed(WorkerLost(name))
-        self._attempts.lose_worker(name, "no announcement came in time")
+        self._driver().feed(WorkerLost(name))
+        self._attempts.on_worker_lost(name, "no announcement came in time")
         command = worker_to_pb(registered.worker, WorkerState.LOST)
         await self._ctx.proposer.propose(worker=command)
 
@@ -111,25 +115,27 @@
             return refusal_for_propose_error(result.error)
         self._ctx.log.info(events.WORKER_CHANGED, worker=announced.name, state=state.value)
         if known is not None and known.worker.incarnation != announced.incarnation:
-            self._decider().feed(WorkerLost(announced.name))
-            self._attempts.lose_worker(announced.name, "the worker started anew")
-        self._tell_scheduler(RegisteredWorker(announced, state))
+            self._driver().feed(WorkerLost(announced.name))
+            self._attempts.on_worker_lost(announced.name, "the worker started anew")
+        self._notify_scheduler(RegisteredWorker(announced, state))
         return None
 
-    def _tell_scheduler(self, registered: RegisteredWorker) -> None:
-        self._decider().feed(WorkerJoined(registered.worker))
+    def _notify_scheduler(self, registered: RegisteredWorker) -> None:
+        self._driver().feed(WorkerJoined(registered.worker))
         if registered.state is WorkerState.LEAVING:
-            self._decider().feed(WorkerLeaving(registered.worker.name))
+            self._driver().feed(WorkerLeaving(registered.worker.name))
 
     def _report_usage(self, req: pb.AnnounceRequest) -> None:
         as_of_ms = self._ctx.clock.now_ms() - req.usage_age_ms
         usage = UsageReported(req.worker.name, as_of_ms, req.slots_used, req.accelerators_used)
-        self._decider().feed(usage)
+        self._driver().feed(usage)
 
-    def _take_lease(self, lease: pb.LeaseReport, reply: pb.AnnounceReply) -> None:
+    def _handle_lease_report(self, lease: pb.LeaseReport, reply: pb.AnnounceReply) -> None:
         final = lease.state in FINAL_STATES
-        if self._ctx.machine.ledger.wants_lease(lease.lease):
-            self._attempts.notify(lease.lease, final, lease.checkpoint_step, lease.progress)
+        if self._ctx.machine.ledger.is_active_lease(lease.lease):
+            self._attempts.on_lease_report(
+                lease.lease, final, lease.checkpoint_step, lease.progress
+            )
         elif final:
             reply.release.append(lease.lease)
         else:
--- a/packages/agateferry-service/agateferry_service/dispatch/attempt.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/attempt.py
@@ -16,18 +16,18 @@
 from agateferry_core.clock import Clock
 from agateferry_service.dispatch.client import StartOrder, WorkerCalls
 from agateferry_service.dispatch.messages import (
-    AttemptEnd,
+    AttemptOutcome,
     AttemptResult,
     LeaseState,
     LeaseView,
     WorkerError,
     WorkerErrorKind,
 )
-from agateferry_service.requests.state import NO_CHECKPOINT, Run
+from agateferry_service.requests.state import NO_CHECKPOINT, RunCertainty
 
 REASON_WORKER_LOST = "worker-lost"
 REASON_DEADLINE = "deadline"
-PROOF_OF_RUN = frozenset({LeaseState.RUNNING, LeaseState.FINISHED, LeaseState.FAILED})
+STATES_PROVING_RUN = frozenset({LeaseState.RUNNING, LeaseState.FINISHED, LeaseState.FAILED})
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,11 +57,11 @@
     worker: str
     address: str
     sent: bool = False
-    ran: bool = False
+    has_run: bool = False
     view: LeaseView | None = None
     error: WorkerError | None = None
-    heard_ms: int = 0
-    hint: asyncio.Event = field(default_factory=asyncio.Event)
+    last_report_ms: int = 0
+    end_reported: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def finished(self) -> bool:
@@ -69,28 +69,28 @@
         return self.view is not None and self.view.state is LeaseState.FINISHED
 
     @property
-    def broken(self) -> bool:
+    def failed(self) -> bool:
         """Tell whether the member will never have an answer."""
-        ended_badly = self.view is not None and self.view.final and not self.finished
-        return ended_badly or self.error is not None
+        ended_without_answer = self.view is not None and self.view.final and not self.finished
+        return ended_without_answer or self.error is not None
 
     @property
-    def decided(self) -> bool:
+    def done(self) -> bool:
         """Tell whether nothing more is to be learned of the member."""
-        return self.finished or self.broken
+        return self.finished or self.failed
 
-    def see(self, view: LeaseView) -> None:
+    def update(self, view: LeaseView) -> None:
         """Take in what the worker says of the lease."""
         self.view = view
-        if view.state in PROOF_OF_RUN or view.progress > 0:
-            self.ran = True
+        if view.state in STATES_PROVING_RUN or view.progress > 0:
+            self.has_run = True
 
     @property
-    def run(self) -> Run:
+    def run(self) -> RunCertainty:
         """Return what is known about whether this member ran."""
-        if self.ran:
-            return Run.RAN
-        return Run.MAY_HAVE_RUN if self.sent else Run.NOT_RUN
+        if self.has_run:
+            return RunCertainty.RAN
+        return RunCertainty.MAY_HAVE_RUN if self.sent else RunCertainty.NOT_RUN
 
 
 class Attempt:
@@ -104,7 +104,7 @@
         members: Sequence[Member],
         calls: WorkerCalls,
         clock: Clock,
-        may_act: Callable[[], bool],
+        is_leader: Callable[[], bool],
         rng: random.Random,
         times: AttemptTimes = AttemptTimes(),
         deadline_ms: int | None = None,
@@ -115,43 +115,45 @@
         self.started_ms = clock.now_ms()
         self._calls = calls
         self._clock = clock
-        self._may_act = may_act
+        self._is_leader = is_leader
         self._rng = rng
         self._times = times
         self._deadline_ms = deadline_ms
         self._checkpointable = checkpointable
         self._on_running = on_running
         self._wake = asyncio.Event()
-        self._stop_as: AttemptEnd | None = None
+        self._stop_outcome: AttemptOutcome | None = None
         self._abandoned = False
-        self._drivers: list[asyncio.Task[None]] = []
+        self._member_tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> AttemptResult:
         """Reserve, start, and return once the attempt has ended as a whole."""
         try:
             if len(self.members) > 1 and not await self._reserve_all():
-                return await self._undo()
-            self._drivers = [asyncio.create_task(self._drive(member)) for member in self.members]
-            await self._until_decided()
+                return await self._cancel_reservations()
+            self._member_tasks = [
+                asyncio.create_task(self._run_member(member)) for member in self.members
+            ]
+            await self._wait_until_decided()
             return await self._conclude()
         finally:
-            await self._cancel_drivers()
+            await self._cancel_member_tasks()
 
-    def stop(self, end: AttemptEnd) -> None:
+    def stop(self, outcome: AttemptOutcome) -> None:
         """Ask for a stop, because of a cancellation or a preemption; a cancellation outweighs."""
-        if self._stop_as is not AttemptEnd.CANCELLED:
-            self._stop_as = end
+        if self._stop_outcome is not AttemptOutcome.CANCELLED:
+            self._stop_outcome = outcome
         self._wake.set()
 
-    def notify(self, lease: str, final: bool) -> None:
+    def on_lease_report(self, lease: str, final: bool) -> None:
         """Take in what a worker announced of a lease; one that has ended is looked at now."""
         for member in self.members:
             if member.order.lease == lease:
-                member.heard_ms = self._clock.now_ms()
+                member.last_report_ms = self._clock.now_ms()
                 if final:
-                    member.hint.set()
+                    member.end_reported.set()
 
-    def lose_worker(self, worker: str, detail: str) -> None:
+    def on_worker_lost(self, worker: str, detail: str) -> None:
         """Take in that a worker is gone or has started anew without this attempt's leases."""
         for member in self.members:
             if member.worker == worker and not member.finished and member.error is None:
@@ -161,111 +163,114 @@
 
     async def _reserve_all(self) -> bool:
         replies = await asyncio.gather(*(self._reserve(member) for member in self.members))
-        return all(replies) and self._stop_as is None
+        return all(replies) and self._stop_outcome is None
 
     async def _reserve(self, member: Member) -> bool:
-        if not self._check_lead():
+        if not self._check_leadership():
             return False
         ttl_ms = self._times.reservation_ttl_ms
         match await self._calls.reserve(member.address, member.order, ttl_ms):
             case Result(tag="ok", ok=view):
                 if view.state is not LeaseState.RESERVED:
-                    member.see(view)
+                    member.update(view)
                 return True
             case Result(error=error):
                 member.error = error
         return False
 
-    def _check_lead(self) -> bool:
+    def _check_leadership(self) -> bool:
         """Tell whether this host leads; once it does not, the attempt is left as it is.
 
         A deposed leader must neither start nor stop anything, and must not say how an attempt
         ended that it did not see to its end: a gang would be left running in part.
         """
-        if not self._may_act():
+        if not self._is_leader():
             self._abandoned = True
             self._wake.set()
         return not self._abandoned
 
-    async def _undo(self) -> AttemptResult:
+    async def _cancel_reservations(self) -> AttemptResult:
         await asyncio.gather(*(self._stop_member(member) for member in self.members))
-        end = self._stop_as or AttemptEnd.FAILED
-        return self._ended(end, "gang-not-reserved")
+        outcome = self._stop_outcome or AttemptOutcome.FAILED
+        return self._summarize(outcome, "gang-not-reserved")
 
-    async def _drive(self, member: Member) -> None:
+    async def _run_member(self, member: Member) -> None:
         """Start a member and follow its lease until it is final or lost."""
-        self._take_in(member, await self._start(member))
-        while not member.decided:
-            if await self._needs_look(member):
-                self._take_in(member, await self._look(member))
+        self._apply_reply(member, await self._start_member(member))
+        while not member.done:
+            if await self._is_poll_due(member):
+                self._apply_reply(member, await self._get_lease(member))
         self._wake.set()
 
-    def _take_in(self, member: Member, reply: Result[LeaseView, WorkerError]) -> None:
+    def _apply_reply(self, member: Member, reply: Result[LeaseView, WorkerError]) -> None:
         match reply:
             case Result(tag="ok", ok=view):
-                member.see(view)
-                self._tell_running()
+                member.update(view)
+                self._report_running()
             case Result(error=error):
                 member.error = error
 
-    def _tell_running(self) -> None:
+    def _report_running(self) -> None:
         views = [member.view for member in self.members]
         if all(view is not None for view in views) and not self._all_finished():
             self._on_running()
 
-    async def _needs_look(self, member: Member) -> bool:
+    async def _is_poll_due(self, member: Member) -> bool:
         """Wait for a hint of the lease's end; without one, tell whether its worker is overdue."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._times.poll_interval_ms / 1000):
-                await member.hint.wait()
-        hinted = member.hint.is_set()
-        member.hint.clear()
-        return hinted or self._clock.now_ms() - member.heard_ms >= self._times.poll_interval_ms
+                await member.end_reported.wait()
+        end_was_reported = member.end_reported.is_set()
+        member.end_reported.clear()
+        return (
+            end_was_reported
+            or self._clock.now_ms() - member.last_report_ms >= self._times.poll_interval_ms
+        )
 
-    async def _start(self, member: Member) -> Result[LeaseView, WorkerError]:
+    async def _start_member(self, member: Member) -> Result[LeaseView, WorkerError]:
         """Start a member; when the answer is lost, find out over fresh connections."""
-        until_ms = self._clock.now_ms() + self._times.resolve_timeout_ms
+        give_up_at_ms = self._clock.now_ms() + self._times.resolve_timeout_ms
         if member.sent:
-            reply = await self._look(member)
-            if not _is_unstarted(reply):
+            reply = await self._get_lease(member)
+            if not _is_not_started(reply):
                 return reply
-        tries = 0
+        retries = 0
         while True:
-            uncertain = member.sent
-            if not self._check_lead():
+            may_have_started = member.sent
+            if not self._check_leadership():
                 return Error(WorkerError(WorkerErrorKind.SILENT, "deposed"))
             member.sent = True
             start_wait_ms = self._times.start_wait_ms
             reply = await self._calls.start(member.address, member.order, start_wait_ms)
-            if not _is_lost(reply) or (_is_unreached(reply) and not uncertain):
-                member.sent = uncertain or reply.is_ok()
+            if not _has_no_usable_reply(reply) or (_is_unreached(reply) and not may_have_started):
+                member.sent = may_have_started or reply.is_ok()
                 return reply
-            reply = await self._look(member)
-            tries += 1
-            if not _is_unstarted(reply) or self._clock.now_ms() >= until_ms:
+            reply = await self._get_lease(member)
+            retries += 1
+            if not _is_not_started(reply) or self._clock.now_ms() >= give_up_at_ms:
                 return reply
-            await self._pause(tries)
+            await self._back_off(retries)
 
-    async def _look(self, member: Member) -> Result[LeaseView, WorkerError]:
+    async def _get_lease(self, member: Member) -> Result[LeaseView, WorkerError]:
         """Ask for a lease until an answer comes or the bound has passed."""
-        until_ms = self._clock.now_ms() + self._times.resolve_timeout_ms
-        tries = 0
+        give_up_at_ms = self._clock.now_ms() + self._times.resolve_timeout_ms
+        retries = 0
         while True:
-            reply = await self._calls.look(member.address, member.order.lease)
-            if not _is_lost(reply) or self._clock.now_ms() >= until_ms:
+            reply = await self._calls.get_lease(member.address, member.order.lease)
+            if not _has_no_usable_reply(reply) or self._clock.now_ms() >= give_up_at_ms:
                 return reply
-            tries += 1
-            await self._pause(tries)
+            retries += 1
+            await self._back_off(retries)
 
-    async def _pause(self, tries: int) -> None:
-        spread = self._rng.uniform(0.5, 1.5)
-        await asyncio.sleep(self._times.backoff_ms * min(tries, 8) * spread / 1000)
+    async def _back_off(self, retries: int) -> None:
+        jitter = self._rng.uniform(0.5, 1.5)
+        await asyncio.sleep(self._times.backoff_ms * min(retries, 8) * jitter / 1000)
 
-    async def _until_decided(self) -> None:
-        while not self._decided():
-            await self._wake_or_deadline()
+    async def _wait_until_decided(self) -> None:
+        while not self._is_decided():
+            await self._wait_for_wake_or_deadline()
 
-    async def _wake_or_deadline(self) -> None:
+    async def _wait_for_wake_or_deadline(self) -> None:
         timeout_s = None
         if self._deadline_ms is not None:
             timeout_s = max(0, self._deadline_ms - self._clock.now_ms()) / 1000
@@ -274,83 +279,85 @@
                 await self._wake.wait()
         self._wake.clear()
 
-    def _decided(self) -> bool:
-        if self._abandoned or self._stop_as is not None or self._overdue():
+    def _is_decided(self) -> bool:
+        if self._abandoned or self._stop_outcome is not None or self._deadline_passed():
             return True
-        return self._all_finished() or any(member.broken for member in self.members)
+        return self._all_finished() or any(member.failed for member in self.members)
 
-    def _overdue(self) -> bool:
+    def _deadline_passed(self) -> bool:
         return self._deadline_ms is not None and self._clock.now_ms() >= self._deadline_ms
 
     def _all_finished(self) -> bool:
         return all(member.finished for member in self.members)
 
     async def _conclude(self) -> AttemptResult:
-        await self._cancel_drivers()
+        await self._cancel_member_tasks()
         if not self._all_finished():
             await self._stop_all()
         if self._all_finished():
             return AttemptResult(
-                AttemptEnd.FINISHED,
+                AttemptOutcome.FINISHED,
                 answers=tuple(member.view.answer for member in self.members if member.view),
                 progress=1.0,
             )
-        if self._stop_as is not None:
-            return self._ended(self._stop_as, self._stop_as.value)
-        return self._ended(AttemptEnd.FAILED, REASON_DEADLINE if self._overdue() else "")
+        if self._stop_outcome is not None:
+            return self._summarize(self._stop_outcome, self._stop_outcome.value)
+        return self._summarize(
+            AttemptOutcome.FAILED, REASON_DEADLINE if self._deadline_passed() else ""
+        )
 
     async def _stop_all(self) -> None:
-        if self._stop_as is AttemptEnd.PREEMPTED and self._checkpointable:
-            await self._each_open("checkpoint")
+        if self._stop_outcome is AttemptOutcome.PREEMPTED and self._checkpointable:
+            await self._control_open_members("checkpoint")
         await asyncio.gather(*(self._stop_member(member) for member in self.members))
 
-    async def _each_open(self, verb: str) -> None:
+    async def _control_open_members(self, action: str) -> None:
         lease_calls: list[Awaitable[None]] = [
-            self._act(member, verb) for member in self.members if not member.broken
+            self._control(member, action) for member in self.members if not member.failed
         ]
         await asyncio.gather(*lease_calls)
 
     async def _stop_member(self, member: Member) -> None:
         final = member.view is not None and member.view.final
-        if not final and self._check_lead():
-            await self._act(member, "stop")
+        if not final and self._check_leadership():
+            await self._control(member, "stop")
 
-    async def _act(self, member: Member, verb: str) -> None:
-        reason = self._stop_as.value if self._stop_as else "gang-undone"
-        reply = await self._calls.act(member.address, member.order.lease, verb, reason)
+    async def _control(self, member: Member, action: str) -> None:
+        reason = self._stop_outcome.value if self._stop_outcome else "gang-undone"
+        reply = await self._calls.control(member.address, member.order.lease, action, reason)
         if reply.is_ok() and member.sent:
-            member.see(reply.ok)
+            member.update(reply.ok)
 
-    async def _cancel_drivers(self) -> None:
-        for task in self._drivers:
+    async def _cancel_member_tasks(self) -> None:
+        for task in self._member_tasks:
             task.cancel()
-        await asyncio.gather(*self._drivers, return_exceptions=True)
-        self._drivers = []
+        await asyncio.gather(*self._member_tasks, return_exceptions=True)
+        self._member_tasks = []
 
-    def _ended(self, end: AttemptEnd, reason: str) -> AttemptResult:
+    def _summarize(self, outcome: AttemptOutcome, reason: str) -> AttemptResult:
         """Sum the members up: a gang is as far as the member that is furthest behind."""
         if self._abandoned:
-            return AttemptResult(AttemptEnd.ABANDONED)
-        broken = [member for member in self.members if member.broken and not _was_stopped(member)]
+            return AttemptResult(AttemptOutcome.ABANDONED)
+        failed = [member for member in self.members if member.failed and not _was_stopped(member)]
         runs = {member.run for member in self.members}
-        run = Run.RAN if Run.RAN in runs else Run.NOT_RUN
-        if run is Run.NOT_RUN and Run.MAY_HAVE_RUN in runs:
-            run = Run.MAY_HAVE_RUN
+        run = RunCertainty.RAN if RunCertainty.RAN in runs else RunCertainty.NOT_RUN
+        if run is RunCertainty.NOT_RUN and RunCertainty.MAY_HAVE_RUN in runs:
+            run = RunCertainty.MAY_HAVE_RUN
         views = [member.view for member in self.members]
         steps = [view.checkpoint_step if view else NO_CHECKPOINT for view in views]
         return AttemptResult(
-            end,
-            reason=_reason_of(broken) or reason or "failed",
-            detail="; ".join(_detail_of(member) for member in broken)[:500],
+            outcome,
+            reason=_failure_reason(failed) or reason or "failed",
+            detail="; ".join(_failure_detail(member) for member in failed)[:500],
             run=run,
             progress=min(view.progress if view else 0.0 for view in views),
             checkpoint_step=min(steps),
-            counts=end is AttemptEnd.FAILED and run is not Run.NOT_RUN,
-            failed_workers=tuple(sorted({member.worker for member in broken})),
+            counts_as_failure=outcome is AttemptOutcome.FAILED and run is not RunCertainty.NOT_RUN,
+            failed_workers=tuple(sorted({member.worker for member in failed})),
         )
 
 
-def _is_lost(reply: Result[LeaseView, WorkerError]) -> bool:
+def _has_no_usable_reply(reply: Result[LeaseView, WorkerError]) -> bool:
     lost = (WorkerErrorKind.SILENT, WorkerErrorKind.GARBLED, WorkerErrorKind.UNREACHED)
     return reply.is_error() and reply.error.kind in lost
 
@@ -359,7 +366,7 @@
     return reply.is_error() and reply.error.kind is WorkerErrorKind.UNREACHED
 
 
-def _is_unstarted(reply: Result[LeaseView, WorkerError]) -> bool:
+def _is_not_started(reply: Result[LeaseView, WorkerError]) -> bool:
     """Tell whether a worker says that no start of the lease has arrived."""
     if reply.is_ok():
         return reply.ok.state is LeaseState.RESERVED
@@ -371,15 +378,15 @@
     return stopped and member.error is None
 
 
-def _reason_of(broken: list[Member]) -> str:
-    for member in broken:
+def _failure_reason(failed: list[Member]) -> str:
+    for member in failed:
         if member.error is not None:
             return member.error.reason or member.error.kind.value
         return "task-failed"
     return ""
 
 
-def _detail_of(member: Member) -> str:
+def _failure_detail(member: Member) -> str:
     if member.error is not None:
         return f"{member.worker}: {member.error.kind.value} {member.error.detail}".strip()
     return f"{member.worker}: {member.view.error if member.view else ''}"
--- a/packages/agateferry-service/agateferry_service/dispatch/budget.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/budget.py
@@ -4,9 +4,9 @@
 much fails at once, retries must not grow with the failures.
 """
 
-RESERVE = 10
+RESERVED_RETRIES = 10
 RETRY_COST = 100
-MOST_SAVED = 110
+MAX_SAVED_RETRIES = 110
 
 
 class RetryBudget:
@@ -17,13 +17,13 @@
 
     def __init__(self, percent: int) -> None:
         self._percent = percent
-        self._credit = RESERVE * RETRY_COST
+        self._credit = RESERVED_RETRIES * RETRY_COST
 
-    def note_first(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count a first attempt."""
-        self._credit = min(MOST_SAVED * RETRY_COST, self._credit + self._percent)
+        self._credit = min(MAX_SAVED_RETRIES * RETRY_COST, self._credit + self._percent)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Pay for one retry; False when the budget is used up."""
         if self._credit < RETRY_COST:
             return False
--- a/packages/agateferry-service/agateferry_service/dispatch/client.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/client.py
@@ -60,11 +60,11 @@
     ) -> Result[LeaseView, WorkerError]:
         """Start a member; repeating it for the same lease starts nothing anew."""
 
-    async def look(self, address: str, lease: str) -> Result[LeaseView, WorkerError]:
+    async def get_lease(self, address: str, lease: str) -> Result[LeaseView, WorkerError]:
         """Ask what became of a lease, over a connection opened for this call alone."""
 
-    async def act(
-        self, address: str, lease: str, verb: str, reason: str = ""
+    async def control(
+        self, address: str, lease: str, action: str, reason: str = ""
     ) -> Result[LeaseView, WorkerError]:
         """Stop, checkpoint or throttle a lease; `verb` names which."""
 
@@ -104,7 +104,7 @@
         self, address: str, order: StartOrder, ttl_ms: int
     ) -> Result[LeaseView, WorkerError]:
         """Hold capacity for one member of a gang for `ttl_ms` milliseconds."""
-        body = {**_reservation(order), "ttl_ms": ttl_ms}
+        body = {**_reservation_body(order), "ttl_ms": ttl_ms}
         return await self._post(address, order.lease, "reserve", body)
 
     async def start(
@@ -113,7 +113,7 @@
         """Start a member and wait up to `wait_ms` for its end."""
         step = order.checkpoint_step
         body = {
-            **_reservation(order),
+            **_reservation_body(order),
             "job": order.job,
             "team": order.team,
             "payload": order.payload,
@@ -122,20 +122,20 @@
         }
         return await self._post(address, order.lease, "start", body, wait_ms)
 
-    async def look(self, address: str, lease: str) -> Result[LeaseView, WorkerError]:
+    async def get_lease(self, address: str, lease: str) -> Result[LeaseView, WorkerError]:
         """Ask what became of a lease, over a connection opened for this call alone."""
         return await self._call(self._fresh, "GET", address, lease, "", None, 0)
 
-    async def act(
-        self, address: str, lease: str, verb: str, reason: str = ""
+    async def control(
+        self, address: str, lease: str, action: str, reason: str = ""
     ) -> Result[LeaseView, WorkerError]:
         """Stop, checkpoint or throttle a lease."""
-        return await self._post(address, lease, verb, {"reason": reason})
+        return await self._post(address, lease, action, {"reason": reason})
 
     async def _post(
-        self, address: str, lease: str, verb: str, body: dict[str, Any], wait_ms: int = 0
+        self, address: str, lease: str, action: str, body: dict[str, Any], wait_ms: int = 0
     ) -> Result[LeaseView, WorkerError]:
-        return await self._call(self._pooled, "POST", address, lease, verb, body, wait_ms)
+        return await self._call(self._pooled, "POST", address, lease, action, body, wait_ms)
 
     async def _call(
         self,
@@ -143,30 +143,30 @@
         method: str,
         address: str,
         lease: str,
-        verb: str,
+        action: str,
         body: dict[str, Any] | None,
         wait_ms: int,
     ) -> Result[LeaseView, WorkerError]:
-        reply = await self._exchange(session, method, address, lease, verb, body, wait_ms)
+        reply = await self._send(session, method, address, lease, action, body, wait_ms)
         if reply.is_error() and reply.error.kind is WorkerErrorKind.GARBLED:
-            self._metrics.broken_answer(verb or "look")
+            self._metrics.broken_answer(action or "look")
         if reply.is_error() and reply.error.kind is WorkerErrorKind.SILENT:
             self._metrics.silent_connection("worker")
         return reply
 
-    async def _exchange(
+    async def _send(
         self,
         session: aiohttp.ClientSession,
         method: str,
         address: str,
         lease: str,
-        verb: str,
+        action: str,
         body: dict[str, Any] | None,
         wait_ms: int,
     ) -> Result[LeaseView, WorkerError]:
         url = f"http://{address}/v1/leases/{quote(lease, safe='')}"
-        if verb:
-            url = f"{url}/{verb}"
+        if action:
+            url = f"{url}/{action}"
         headers = {"Prefer": f"wait={wait_ms / 1000:g}"} if wait_ms else {}
         total_s = (wait_ms + WAIT_GRACE_MS) / 1000 if wait_ms else CALL_TIMEOUT_S
         timeout = aiohttp.ClientTimeout(sock_connect=CONNECT_TIMEOUT_S, total=total_s)
@@ -174,7 +174,7 @@
             async with session.request(
                 method, url, json=body, headers=headers, timeout=timeout
             ) as resp:
-                return read_reply(lease, resp.status, await read_bounded(resp))
+                return parse_reply(lease, resp.status, await read_limited(resp))
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
             return Error(WorkerError(WorkerErrorKind.UNREACHED, detail=str(exc)))
         except aiohttp.ClientPayloadError as exc:
@@ -183,10 +183,10 @@
             return Error(WorkerError(WorkerErrorKind.SILENT, detail=str(exc) or "no answer"))
 
 
-def read_reply(lease: str, status: int, data: bytes) -> Result[LeaseView, WorkerError]:
+def parse_reply(lease: str, status: int, data: bytes) -> Result[LeaseView, WorkerError]:
     """Check one reply: it must be whole, and about the lease that was asked for."""
     if status in PROBLEM_STATUSES:
-        return Error(_problem(status, data))
+        return Error(_parse_problem(status, data))
     if status not in (200, 202):
         detail = f"status {status}"
         return Error(WorkerError(WorkerErrorKind.GARBLED, detail=detail))
@@ -197,7 +197,7 @@
     if body.lease != lease:
         detail = f"the answer is about lease {body.lease}"
         return Error(WorkerError(WorkerErrorKind.GARBLED, detail=detail))
-    if body.state is LeaseState.FINISHED and not is_whole(body):
+    if body.state is LeaseState.FINISHED and not is_intact(body):
         return Error(WorkerError(WorkerErrorKind.GARBLED, detail="length or digest do not match"))
     step = NO_CHECKPOINT if body.checkpoint_step is None else body.checkpoint_step
     return Ok(
@@ -205,7 +205,7 @@
     )
 
 
-async def read_bounded(resp: aiohttp.ClientResponse) -> bytes:
+async def read_limited(resp: aiohttp.ClientResponse) -> bytes:
     """Read a body of at most MAX_ANSWER_BYTES bytes."""
     data = bytearray()
     async for chunk in resp.content.iter_any():
@@ -215,7 +215,7 @@
     return bytes(data)
 
 
-def is_whole(body: LeaseBody) -> bool:
+def is_intact(body: LeaseBody) -> bool:
     """Tell whether an answer has the length and the digest that came with it."""
     if body.answer is None:
         return False
@@ -223,7 +223,7 @@
     return len(data) == body.length and hashlib.sha256(data).hexdigest() == body.digest
 
 
-def _reservation(order: StartOrder) -> dict[str, Any]:
+def _reservation_body(order: StartOrder) -> dict[str, Any]:
     return {
         "request_id": order.request_id,
         "attempt": order.attempt,
@@ -236,7 +236,7 @@
     }
 
 
-def _problem(status: int, data: bytes) -> WorkerError:
+def _parse_problem(status: int, data: bytes) -> WorkerError:
     try:
         body = json.loads(data)
     except ValueError:
--- a/packages/agateferry-service/agateferry_service/dispatch/messages.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/messages.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from agateferry_service.requests.state import NO_CHECKPOINT, Run
+from agateferry_service.requests.state import NO_CHECKPOINT, RunCertainty
 
 
 class LeaseState(StrEnum):
@@ -64,7 +64,7 @@
     detail: str = ""
 
 
-class AttemptEnd(StrEnum):
+class AttemptOutcome(StrEnum):
     """Say how an attempt ended."""
 
     FINISHED = "finished"
@@ -83,12 +83,12 @@
     whose member failed or could not be reached.
     """
 
-    end: AttemptEnd
+    outcome: AttemptOutcome
     answers: tuple[str, ...] = ()
     reason: str = ""
     detail: str = ""
-    run: Run = Run.RAN
+    run: RunCertainty = RunCertainty.RAN
     progress: float = 0.0
     checkpoint_step: int = NO_CHECKPOINT
-    counts: bool = False
+    counts_as_failure: bool = False
     failed_workers: tuple[str, ...] = ()
--- a/packages/agateferry-service/agateferry_service/dispatch/tests/test_attempt.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/tests/test_attempt.py
@@ -9,13 +9,13 @@
 from agateferry_service.dispatch.attempt import Attempt, AttemptTimes, Member
 from agateferry_service.dispatch.client import StartOrder
 from agateferry_service.dispatch.messages import (
-    AttemptEnd,
+    AttemptOutcome,
     LeaseState,
     LeaseView,
     WorkerError,
     WorkerErrorKind,
 )
-from agateferry_service.requests.state import Run
+from agateferry_service.requests.state import RunCertainty
 
 TIMES = AttemptTimes(start_wait_ms=20, resolve_timeout_ms=60, backoff_ms=5, poll_interval_ms=20)
 
@@ -33,16 +33,16 @@
     async def start(self, address, order, wait_ms):
         return self._next(order.lease, "start", LeaseState.FINISHED)
 
-    async def look(self, address, lease):
+    async def get_lease(self, address, lease):
         await asyncio.sleep(0)
-        return self._next(lease, "look", LeaseState.RUNNING)
+        return self._next(lease, "get", LeaseState.RUNNING)
 
-    async def act(self, address, lease, verb, reason=""):
-        return self._next(lease, verb, LeaseState.STOPPED)
+    async def control(self, address, lease, action, reason=""):
+        return self._next(lease, action, LeaseState.STOPPED)
 
-    def _next(self, lease, verb, otherwise):
-        self.calls.append((lease, verb))
-        script = self.scripts.get(f"{lease}_{verb}", [otherwise])
+    def _next(self, lease, action, otherwise):
+        self.calls.append((lease, action))
+        script = self.scripts.get(f"{lease}_{action}", [otherwise])
         reply = script.pop(0) if len(script) > 1 else script[0]
         if isinstance(reply, WorkerErrorKind):
             return Error(WorkerError(reply, "no-capacity" if reply == "refused" else ""))
@@ -60,97 +60,102 @@
     ]
 
 
-def attempt(fake, count=1, may_act=lambda: True, **options):
-    return Attempt(members(count), fake, SystemClock(), may_act, random.Random(1), TIMES, **options)
+def attempt(fake, count=1, is_leader=lambda: True, **options):
+    return Attempt(
+        members(count), fake, SystemClock(), is_leader, random.Random(1), TIMES, **options
+    )
 
 
 class SingleTests(testtools.TestCase):
     def test_returns_the_answer_of_a_quick_task(self):
         result = run_async(attempt(FakeWorkers()).run())
-        self.assertEqual((AttemptEnd.FINISHED, ("m0",)), (result.end, result.answers))
+        self.assertEqual((AttemptOutcome.FINISHED, ("m0",)), (result.outcome, result.answers))
 
     def test_a_refused_start_was_not_run(self):
         result = run_async(attempt(FakeWorkers(m0_start=[WorkerErrorKind.REFUSED])).run())
         self.assertEqual(
-            (Run.NOT_RUN, False, "no-capacity"), (result.run, result.counts, result.reason)
+            (RunCertainty.NOT_RUN, False, "no-capacity"),
+            (result.run, result.counts_as_failure, result.reason),
         )
 
     def test_a_lease_that_its_worker_speaks_of_is_not_looked_at(self):
-        fake = FakeWorkers(m0_start=[LeaseState.RUNNING], m0_look=[LeaseState.FINISHED])
+        fake = FakeWorkers(m0_start=[LeaseState.RUNNING], m0_get=[LeaseState.FINISHED])
 
         async def main():
             tried = attempt(fake)
             work = asyncio.create_task(tried.run())
             for _ in range(40):
-                tried.notify("m0", False)
+                tried.on_lease_report("m0", False)
                 await asyncio.sleep(0.001)
-            looks = fake.calls.count(("m0", "look"))
-            tried.notify("m0", True)
-            return looks, (await work).end
+            polls = fake.calls.count(("m0", "get"))
+            tried.on_lease_report("m0", True)
+            return polls, (await work).outcome
 
-        self.assertEqual((0, AttemptEnd.FINISHED), run_async(main(), 5))
+        self.assertEqual((0, AttemptOutcome.FINISHED), run_async(main(), 5))
 
     def test_a_refusal_ends_the_attempt_at_once(self):
         fake = FakeWorkers(m0_start=[WorkerErrorKind.REFUSED])
         times = AttemptTimes(poll_interval_ms=60_000)
         tried = Attempt(members(1), fake, SystemClock(), lambda: True, random.Random(1), times)
-        self.assertEqual(AttemptEnd.FAILED, run_async(tried.run(), 5).end)
+        self.assertEqual(AttemptOutcome.FAILED, run_async(tried.run(), 5).outcome)
 
     def test_a_worker_that_was_not_reached_did_not_run_it(self):
         fake = FakeWorkers(m0_start=[WorkerErrorKind.UNREACHED])
         result = run_async(attempt(fake).run())
-        self.assertEqual((Run.NOT_RUN, ("w0",)), (result.run, result.failed_workers))
+        self.assertEqual((RunCertainty.NOT_RUN, ("w0",)), (result.run, result.failed_workers))
 
     def test_a_lost_answer_is_looked_up_and_not_started_again(self):
-        fake = FakeWorkers(m0_start=[WorkerErrorKind.SILENT], m0_look=[LeaseState.FINISHED])
+        fake = FakeWorkers(m0_start=[WorkerErrorKind.SILENT], m0_get=[LeaseState.FINISHED])
         result = run_async(attempt(fake).run())
-        self.assertEqual(AttemptEnd.FINISHED, result.end)
+        self.assertEqual(AttemptOutcome.FINISHED, result.outcome)
         self.assertEqual(1, fake.calls.count(("m0", "start")))
 
     def test_what_cannot_be_learned_may_have_run(self):
-        fake = FakeWorkers(m0_start=[WorkerErrorKind.SILENT], m0_look=[WorkerErrorKind.SILENT])
+        fake = FakeWorkers(m0_start=[WorkerErrorKind.SILENT], m0_get=[WorkerErrorKind.SILENT])
         result = run_async(attempt(fake).run())
-        self.assertEqual((AttemptEnd.FAILED, Run.MAY_HAVE_RUN), (result.end, result.run))
+        self.assertEqual(
+            (AttemptOutcome.FAILED, RunCertainty.MAY_HAVE_RUN), (result.outcome, result.run)
+        )
 
     def test_a_refusal_after_a_lost_start_may_have_run(self):
         fake = FakeWorkers(
             m0_start=[WorkerErrorKind.SILENT, WorkerErrorKind.REFUSED],
-            m0_look=[WorkerErrorKind.UNKNOWN_LEASE],
+            m0_get=[WorkerErrorKind.UNKNOWN_LEASE],
         )
-        self.assertEqual(Run.MAY_HAVE_RUN, run_async(attempt(fake).run()).run)
+        self.assertEqual(RunCertainty.MAY_HAVE_RUN, run_async(attempt(fake).run()).run)
 
     def test_a_deposed_leader_starts_nothing(self):
         fake = FakeWorkers()
-        run_async(attempt(fake, may_act=lambda: False).run())
+        run_async(attempt(fake, is_leader=lambda: False).run())
         self.assertNotIn(("m0", "start"), fake.calls)
 
     def test_a_cancellation_stops_what_runs_and_tells_how_far_it_got(self):
         fake = FakeWorkers(m0_start=[LeaseState.RUNNING])
         tried = attempt(fake)
-        tried.stop(AttemptEnd.CANCELLED)
+        tried.stop(AttemptOutcome.CANCELLED)
         result = run_async(tried.run())
-        self.assertEqual(AttemptEnd.CANCELLED, result.end)
+        self.assertEqual(AttemptOutcome.CANCELLED, result.outcome)
 
     def test_a_finish_that_a_stop_finds_is_a_finish(self):
         fake = FakeWorkers(m0_start=[LeaseState.RUNNING], m0_stop=[LeaseState.FINISHED])
 
         async def main():
-            tried = attempt(fake, on_running=lambda: tried.stop(AttemptEnd.CANCELLED))
+            tried = attempt(fake, on_running=lambda: tried.stop(AttemptOutcome.CANCELLED))
             return await tried.run()
 
-        self.assertEqual(AttemptEnd.FINISHED, run_async(main()).end)
+        self.assertEqual(AttemptOutcome.FINISHED, run_async(main()).outcome)
 
     def test_a_preemption_takes_a_checkpoint_first(self):
         fake = FakeWorkers(m0_start=[LeaseState.RUNNING], m0_checkpoint=[LeaseState.RUNNING])
 
         async def main():
             tried = attempt(
-                fake, checkpointable=True, on_running=lambda: tried.stop(AttemptEnd.PREEMPTED)
+                fake, checkpointable=True, on_running=lambda: tried.stop(AttemptOutcome.PREEMPTED)
             )
             return await tried.run()
 
         result = run_async(main())
-        self.assertEqual((AttemptEnd.PREEMPTED, 2), (result.end, result.checkpoint_step))
+        self.assertEqual((AttemptOutcome.PREEMPTED, 2), (result.outcome, result.checkpoint_step))
         self.assertEqual([("m0", "checkpoint"), ("m0", "stop")], fake.calls[-2:])
 
 
@@ -158,7 +163,9 @@
     def test_nothing_starts_unless_all_members_hold(self):
         fake = FakeWorkers(m1_reserve=[WorkerErrorKind.REFUSED])
         result = run_async(attempt(fake, 3).run())
-        self.assertEqual((AttemptEnd.FAILED, Run.NOT_RUN), (result.end, result.run))
+        self.assertEqual(
+            (AttemptOutcome.FAILED, RunCertainty.NOT_RUN), (result.outcome, result.run)
+        )
         self.assertEqual([], [call for call in fake.calls if call[1] == "start"])
 
     def test_answers_come_in_the_order_of_members(self):
@@ -169,30 +176,31 @@
         fake = FakeWorkers(m0_start=[LeaseState.RUNNING], m1_start=[LeaseState.FAILED])
         result = run_async(attempt(fake, 2).run())
         self.assertEqual(
-            (AttemptEnd.FAILED, Run.RAN, ("w1",)), (result.end, result.run, result.failed_workers)
+            (AttemptOutcome.FAILED, RunCertainty.RAN, ("w1",)),
+            (result.outcome, result.run, result.failed_workers),
         )
         self.assertIn(("m0", "stop"), fake.calls)
 
     def test_a_member_that_an_earlier_leader_left_reserved_is_started(self):
-        fake = FakeWorkers(m0_look=[LeaseState.FINISHED], m1_look=[LeaseState.RESERVED])
+        fake = FakeWorkers(m0_get=[LeaseState.FINISHED], m1_get=[LeaseState.RESERVED])
         resumed = attempt(fake, 2)
         for member in resumed.members:
             member.sent = True
-        self.assertEqual(AttemptEnd.FINISHED, run_async(resumed.run(), 5).end)
+        self.assertEqual(AttemptOutcome.FINISHED, run_async(resumed.run(), 5).outcome)
         self.assertEqual([("m1", "start")], [call for call in fake.calls if call[1] == "start"])
 
     def test_a_leader_deposed_between_the_starts_leaves_the_gang_to_the_next(self):
         fake = FakeWorkers(m0_start=[LeaseState.RUNNING])
         leads = iter([True] * 4 + [False] * 9)
-        result = run_async(attempt(fake, 3, may_act=lambda: next(leads)).run())
-        self.assertEqual(AttemptEnd.ABANDONED, result.end)
-        self.assertEqual({"reserve", "start"}, {verb for _, verb in fake.calls} - {"look"})
+        result = run_async(attempt(fake, 3, is_leader=lambda: next(leads)).run())
+        self.assertEqual(AttemptOutcome.ABANDONED, result.outcome)
+        self.assertEqual({"reserve", "start"}, {action for _, action in fake.calls} - {"get"})
 
     def test_a_lost_worker_fails_the_whole_gang(self):
         fake = FakeWorkers(m0_start=[LeaseState.RUNNING], m1_start=[LeaseState.RUNNING])
 
         async def main():
-            tried = attempt(fake, 2, on_running=lambda: tried.lose_worker("w1", "silent"))
+            tried = attempt(fake, 2, on_running=lambda: tried.on_worker_lost("w1", "silent"))
             return await tried.run()
 
         result = run_async(main())
--- a/packages/agateferry-service/agateferry_service/dispatch/tests/test_client.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/tests/test_client.py
@@ -3,7 +3,7 @@
 
 import testtools
 
-from agateferry_service.dispatch.client import read_reply
+from agateferry_service.dispatch.client import parse_reply
 from agateferry_service.dispatch.messages import LeaseState, WorkerErrorKind
 
 
@@ -19,32 +19,32 @@
     return json.dumps(body | changed).encode()
 
 
-class ReadReplyTests(testtools.TestCase):
-    def read_error(self, data, status=200):
-        return read_reply("z.1.1.0", status, data).error.kind
+class ParseReplyTests(testtools.TestCase):
+    def parse_error(self, data, status=200):
+        return parse_reply("z.1.1.0", status, data).error.kind
 
     def test_a_whole_answer_is_passed_on(self):
-        view = read_reply("z.1.1.0", 200, reply()).ok
+        view = parse_reply("z.1.1.0", 200, reply()).ok
         self.assertEqual((LeaseState.FINISHED, "barn 12"), (view.state, view.answer))
 
     def test_an_answer_that_was_cut_short_is_not_passed_on(self):
         whole = reply()
         for data in (whole[:-9], b"", reply(answer="barn 1", length=7), reply(length=6)):
-            self.assertEqual(WorkerErrorKind.GARBLED, self.read_error(data))
+            self.assertEqual(WorkerErrorKind.GARBLED, self.parse_error(data))
 
     def test_an_answer_without_its_length_or_digest_is_not_passed_on(self):
         for name in ("length", "digest"):
-            self.assertEqual(WorkerErrorKind.GARBLED, self.read_error(reply(**{name: None})))
+            self.assertEqual(WorkerErrorKind.GARBLED, self.parse_error(reply(**{name: None})))
 
     def test_an_answer_of_equal_length_with_other_bytes_is_not_passed_on(self):
         data = reply().replace(b"barn 12", b"barn 13")
-        self.assertEqual(WorkerErrorKind.GARBLED, self.read_error(data))
+        self.assertEqual(WorkerErrorKind.GARBLED, self.parse_error(data))
 
     def test_an_answer_about_another_lease_is_not_passed_on(self):
         for lease in ("z.2.1.0", "z.1.2.0", "z.1.1.1"):
-            self.assertEqual(WorkerErrorKind.GARBLED, self.read_error(reply(lease)))
+            self.assertEqual(WorkerErrorKind.GARBLED, self.parse_error(reply(lease)))
 
     def test_only_a_refusal_by_the_worker_counts_as_refused(self):
-        self.assertEqual(WorkerErrorKind.REFUSED, self.read_error(b"{}", 503))
+        self.assertEqual(WorkerErrorKind.REFUSED, self.parse_error(b"{}", 503))
         for status in (500, 502, 504):
-            self.assertEqual(WorkerErrorKind.GARBLED, self.read_error(b"{}", status))
+            self.assertEqual(WorkerErrorKind.GARBLED, self.parse_error(b"{}", status))
--- a/packages/agateferry-service/agateferry_service/requests/codec.py
+++ b/packages/agateferry-service/agateferry_service/requests/codec.py
@@ -6,7 +6,7 @@
     Request,
     RequestSpec,
     RequestState,
-    Run,
+    RunCertainty,
     Stage,
 )
 from agateferry_service.rpc import commands_pb2 as pb
@@ -135,7 +135,7 @@
         failures=message.failures,
         progress=view.progress,
         checkpoint_step=view.checkpoint_step,
-        run=Run(view.run),
+        run=RunCertainty(view.run),
         answers=tuple(view.answers),
         stage=Stage(view.stage) if view.stage else None,
         reason=view.reason,
--- a/packages/agateferry-service/agateferry_service/requests/ledger.py
+++ b/packages/agateferry-service/agateferry_service/requests/ledger.py
@@ -18,12 +18,12 @@
     request_to_pb,
     spec_from_pb,
 )
-from agateferry_service.requests.messages import Outcome, OutcomeKind
+from agateferry_service.requests.messages import CommandResult, CommandResultKind
 from agateferry_service.requests.state import (
     Placement,
     Request,
     RequestState,
-    Run,
+    RunCertainty,
     parse_lease,
 )
 from agateferry_service.rpc import commands_pb2 as pb
@@ -39,7 +39,7 @@
         self._open: dict[str, Request] = {}
         self._ended: dict[str, bytes] = {}
         self._by_key: dict[tuple[str, str], str] = {}
-        self._compact: dict[str, bytes] = {}
+        self._serialized: dict[str, bytes] = {}
 
     def __len__(self) -> int:
         """Return how many requests are remembered."""
@@ -53,100 +53,100 @@
         known = self._open.get(request_id)
         if known is not None:
             return known
-        compact = self._ended.get(request_id)
-        return _expand(compact) if compact is not None else None
+        serialized = self._ended.get(request_id)
+        return _deserialize(serialized) if serialized is not None else None
 
     def by_key(self, team: str, key: str) -> Request | None:
         """Return the request that a team's idempotency key belongs to."""
         request_id = self._by_key.get((team, key))
         return self.get(request_id) if request_id else None
 
-    def unended(self) -> Iterator[Request]:
+    def open_requests(self) -> Iterator[Request]:
         """Yield every request without a final answer, in the order of acceptance."""
         return iter(self._open.values())
 
-    def wants_lease(self, lease: str) -> bool:
+    def is_active_lease(self, lease: str) -> bool:
         """Tell whether a lease belongs to an attempt whose result is still waited for."""
         parsed = parse_lease(lease)
         if parsed is None:
             return False
         request = self._open.get(parsed[0])
-        return request is not None and request.holds_workers and request.attempt == parsed[1]
+        return request is not None and request.has_active_attempt and request.attempt == parsed[1]
 
-    def accept(self, command: pb.Accept) -> Outcome:
+    def accept(self, command: pb.Accept) -> CommandResult:
         """Store a new request, or find the one that this is a resend of."""
         spec = spec_from_pb(command.spec)
         known = self.get(spec.id)
         if known is None and spec.key:
             known = self.by_key(spec.team, spec.key)
         if known is not None:
-            return self._resend_outcome(known, spec.body_digest)
+            return self._resend_result(known, spec.body_digest)
         request = Request(spec)
         self._open[spec.id] = request
         if spec.key:
             self._by_key[(spec.team, spec.key)] = spec.id
         if command.placements:
             self._begin_attempt(request, _placements(command.placements))
-        return self._changed(request)
+        return self._mark_changed(request)
 
-    def place(self, command: pb.Place) -> Outcome:
+    def place(self, command: pb.Place) -> CommandResult:
         """Store the intent to start an attempt; only a waiting request can be placed."""
         request = self.get(command.request_id)
         if request is None:
-            return Outcome(OutcomeKind.UNKNOWN_REQUEST)
+            return CommandResult(CommandResultKind.UNKNOWN_REQUEST)
         waits = request.state is RequestState.ACCEPTED
         if not waits or command.attempt != request.attempt + 1:
-            return Outcome(OutcomeKind.STALE, request)
+            return CommandResult(CommandResultKind.STALE, request)
         self._begin_attempt(request, _placements(command.placements))
-        return self._changed(request)
+        return self._mark_changed(request)
 
-    def progress(self, command: pb.Progress) -> Outcome:
+    def progress(self, command: pb.Progress) -> CommandResult:
         """Store that an attempt has started, how far it is and its last checkpoint."""
         found = self._current_attempt(command.request_id, command.attempt)
-        if found.kind is not OutcomeKind.DONE or found.request is None:
+        if found.kind is not CommandResultKind.DONE or found.request is None:
             return found
         request = found.request
         request.state = RequestState.RUNNING
-        request.run = Run.RAN
-        _advance(request, command.progress, command.checkpoint_step)
+        request.run = RunCertainty.RAN
+        _update_progress(request, command.progress, command.checkpoint_step)
         return found
 
-    def finish(self, command: pb.Finish) -> Outcome:
+    def finish(self, command: pb.Finish) -> CommandResult:
         """Store the whole answer; it wins over a cancellation that is still under way."""
         found = self._current_attempt(command.request_id, command.attempt)
-        if found.kind is not OutcomeKind.DONE or found.request is None:
+        if found.kind is not CommandResultKind.DONE or found.request is None:
             return found
         request = found.request
         request.answers = tuple(command.answers)
         request.progress = 1.0
-        request.run = Run.RAN
+        request.run = RunCertainty.RAN
         self._end(request, RequestState.FINISHED, command.wall_ms)
         return found
 
-    def cancel(self, command: pb.RequestCancel) -> Outcome:
+    def cancel(self, command: pb.RequestCancel) -> CommandResult:
         """Cancel at once what waits; mark what runs, to be cancelled when it has stopped."""
         request = self.get(command.request_id)
         if request is None:
-            return Outcome(OutcomeKind.UNKNOWN_REQUEST)
+            return CommandResult(CommandResultKind.UNKNOWN_REQUEST)
         if request.ended:
-            return Outcome(OutcomeKind.ALREADY_ENDED, request)
-        if request.holds_workers:
+            return CommandResult(CommandResultKind.ALREADY_ENDED, request)
+        if request.has_active_attempt:
             request.cancelling = True
         else:
             self._end(request, RequestState.CANCELLED, command.wall_ms, REASON_CANCELLED)
-        return self._changed(request)
+        return self._mark_changed(request)
 
-    def attempt_failed(self, command: pb.AttemptFailed) -> Outcome:
+    def attempt_failed(self, command: pb.AttemptFailed) -> CommandResult:
         """End an attempt without an answer.
 
         The request is cancelled if that was asked for, has failed for good, or waits again.
         """
         found = self._current_attempt(command.request_id, command.attempt)
-        if found.kind is not OutcomeKind.DONE or found.request is None:
+        if found.kind is not CommandResultKind.DONE or found.request is None:
             return found
         request = found.request
-        _advance(request, command.progress, command.checkpoint_step)
-        request.run = _combined_run(request.run, Run(command.run))
+        _update_progress(request, command.progress, command.checkpoint_step)
+        request.run = _combine_run_certainty(request.run, RunCertainty(command.run))
         request.detail = command.detail
         if command.counts:
             request.failures += 1
@@ -159,73 +159,75 @@
             request.placements = ()
         return found
 
-    def give_up(self, command: pb.GiveUp) -> Outcome:
+    def give_up(self, command: pb.GiveUp) -> CommandResult:
         """End a waiting request that will not be placed."""
         request = self.get(command.request_id)
         if request is None:
-            return Outcome(OutcomeKind.UNKNOWN_REQUEST)
+            return CommandResult(CommandResultKind.UNKNOWN_REQUEST)
         if request.state is not RequestState.ACCEPTED:
-            return Outcome(OutcomeKind.STALE, request)
+            return CommandResult(CommandResultKind.STALE, request)
         request.detail = command.detail
         self._end(request, RequestState.FAILED, command.wall_ms, command.reason)
-        return self._changed(request)
+        return self._mark_changed(request)
 
-    def forget(self, command: pb.Forget) -> Outcome:
+    def forget(self, command: pb.Forget) -> CommandResult:
         """Drop requests that ended before the given time, with their keys and answers."""
         while self._ended:
-            request = _expand(next(iter(self._ended.values())))
+            request = _deserialize(next(iter(self._ended.values())))
             if request.ended_wall_ms >= command.ended_before_wall_ms:
                 break
-            self._drop(request)
-        return Outcome(OutcomeKind.DONE)
+            self._remove(request)
+        return CommandResult(CommandResultKind.DONE)
 
     def oldest_end_wall_ms(self) -> int | None:
         """Return when the request that ended first did so."""
         oldest = next(iter(self._ended.values()), None)
-        return _expand(oldest).ended_wall_ms if oldest is not None else None
+        return _deserialize(oldest).ended_wall_ms if oldest is not None else None
 
     def store(self) -> list[bytes]:
         """Write all requests, those that ended first and in the order in which they did."""
         for request in self._open.values():
-            if request.id not in self._compact:
-                self._compact[request.id] = _compact(request)
-        return [*self._ended.values(), *(self._compact[request_id] for request_id in self._open)]
+            if request.id not in self._serialized:
+                self._serialized[request.id] = _serialize(request)
+        return [*self._ended.values(), *(self._serialized[request_id] for request_id in self._open)]
 
     def load(self, stored: Iterable[bytes]) -> None:
         """Replace all requests by stored ones."""
         self.__init__()  # type: ignore[misc]
-        for compact in stored:
-            request = _expand(compact)
+        for serialized in stored:
+            request = _deserialize(serialized)
             if request.spec.key:
                 self._by_key[(request.spec.team, request.spec.key)] = request.id
             if request.ended:
-                self._ended[request.id] = compact
+                self._ended[request.id] = serialized
             else:
                 self._open[request.id] = request
-                self._compact[request.id] = compact
+                self._serialized[request.id] = serialized
 
-    def _resend_outcome(self, known: Request, body_digest: bytes) -> Outcome:
+    def _resend_result(self, known: Request, body_digest: bytes) -> CommandResult:
         same_body = known.spec.body_digest == body_digest
-        return Outcome(OutcomeKind.DUPLICATE if same_body else OutcomeKind.KEY_REUSED, known)
+        return CommandResult(
+            CommandResultKind.DUPLICATE if same_body else CommandResultKind.KEY_REUSED, known
+        )
 
     def _begin_attempt(self, request: Request, placements: tuple[Placement, ...]) -> None:
         request.attempt += 1
         request.placements = placements
         request.state = RequestState.PLACED
 
-    def _changed(self, request: Request) -> Outcome:
-        self._compact.pop(request.id, None)
-        return Outcome(OutcomeKind.DONE, request)
+    def _mark_changed(self, request: Request) -> CommandResult:
+        self._serialized.pop(request.id, None)
+        return CommandResult(CommandResultKind.DONE, request)
 
-    def _current_attempt(self, request_id: str, attempt: int) -> Outcome:
+    def _current_attempt(self, request_id: str, attempt: int) -> CommandResult:
         request = self.get(request_id)
         if request is None:
-            return Outcome(OutcomeKind.UNKNOWN_REQUEST)
+            return CommandResult(CommandResultKind.UNKNOWN_REQUEST)
         if request.ended:
-            return Outcome(OutcomeKind.ALREADY_ENDED, request)
-        if not request.holds_workers or request.attempt != attempt:
-            return Outcome(OutcomeKind.STALE, request)
-        return self._changed(request)
+            return CommandResult(CommandResultKind.ALREADY_ENDED, request)
+        if not request.has_active_attempt or request.attempt != attempt:
+            return CommandResult(CommandResultKind.STALE, request)
+        return self._mark_changed(request)
 
     def _end(self, request: Request, state: RequestState, wall_ms: int, reason: str = "") -> None:
         if state is not RequestState.FINISHED:
@@ -236,44 +238,44 @@
         request.placements = ()
         request.spec = replace(request.spec, payload="")
         del self._open[request.id]
-        self._ended[request.id] = _compact(request)
+        self._ended[request.id] = _serialize(request)
 
-    def _drop(self, request: Request) -> None:
+    def _remove(self, request: Request) -> None:
         del self._ended[request.id]
         if request.spec.key:
             self._by_key.pop((request.spec.team, request.spec.key), None)
 
 
-def _compact(request: Request) -> bytes:
+def _serialize(request: Request) -> bytes:
     data: bytes = request_to_pb(request).SerializeToString()
     return data
 
 
-def _expand(compact: bytes) -> Request:
-    return request_from_pb(pb.StoredRequest.FromString(compact))
+def _deserialize(serialized: bytes) -> Request:
+    return request_from_pb(pb.StoredRequest.FromString(serialized))
 
 
 def _placements(messages: Iterable[pb.Placement]) -> tuple[Placement, ...]:
     return tuple(placement_from_pb(message) for message in messages)
 
 
-def _advance(request: Request, progress: float, checkpoint_step: int) -> None:
+def _update_progress(request: Request, progress: float, checkpoint_step: int) -> None:
     request.progress = max(request.progress, progress)
     request.checkpoint_step = max(request.checkpoint_step, checkpoint_step)
 
 
-def _combined_run(before: Run, now: Run) -> Run:
+def _combine_run_certainty(before: RunCertainty, now: RunCertainty) -> RunCertainty:
     """Return what is known over two attempts: a certain run outweighs a possible one."""
-    if Run.RAN in (before, now):
-        return Run.RAN
-    if Run.MAY_HAVE_RUN in (before, now):
-        return Run.MAY_HAVE_RUN
-    return Run.NOT_RUN
+    if RunCertainty.RAN in (before, now):
+        return RunCertainty.RAN
+    if RunCertainty.MAY_HAVE_RUN in (before, now):
+        return RunCertainty.MAY_HAVE_RUN
+    return RunCertainty.NOT_RUN
 
 
 def _is_final(request: Request, command: pb.AttemptFailed) -> bool:
     if command.reason == REASON_DEADLINE:
         return True
-    if not request.spec.idempotent and command.run != Run.NOT_RUN:
+    if not request.spec.idempotent and command.run != RunCertainty.NOT_RUN:
         return True
     return request.failures >= request.spec.max_attempts
--- a/packages/agateferry-service/agateferry_service/requests/messages.py
+++ b/packages/agateferry-service/agateferry_service/requests/messages.py
@@ -6,7 +6,7 @@
 from agateferry_service.requests.state import Request
 
 
-class OutcomeKind(StrEnum):
+class CommandResultKind(StrEnum):
     """Say what a command did to the ledger."""
 
     DONE = "done"
@@ -18,8 +18,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class CommandResult:
     """The effect of one command and the request as it stands after it, where there is one."""
 
-    kind: OutcomeKind
+    kind: CommandResultKind
     request: Request | None = None
--- a/packages/agateferry-service/agateferry_service/requests/state.py
+++ b/packages/agateferry-service/agateferry_service/requests/state.py
@@ -19,8 +19,8 @@
     FAILED = "failed"
 
 
-ENDED = frozenset({RequestState.FINISHED, RequestState.CANCELLED, RequestState.FAILED})
-HOLDS_WORKERS = frozenset({RequestState.PLACED, RequestState.RUNNING})
+TERMINAL_STATES = frozenset({RequestState.FINISHED, RequestState.CANCELLED, RequestState.FAILED})
+ACTIVE_STATES = frozenset({RequestState.PLACED, RequestState.RUNNING})
 
 
 class Stage(StrEnum):
@@ -32,7 +32,7 @@
     CHECKPOINTED = "checkpointed"
 
 
-class Run(StrEnum):
+class RunCertainty(StrEnum):
     """Say what is known about whether any part of a request ran."""
 
     NOT_RUN = "not-run"
@@ -87,7 +87,7 @@
     failures: int = 0
     progress: float = 0.0
     checkpoint_step: int = NO_CHECKPOINT
-    run: Run = Run.NOT_RUN
+    run: RunCertainty = RunCertainty.NOT_RUN
     answers: tuple[str, ...] = ()
     stage: Stage | None = None
     reason: str = ""
@@ -102,18 +102,18 @@
     @property
     def ended(self) -> bool:
         """Tell whether the request has its final answer."""
-        return self.state in ENDED
+        return self.state in TERMINAL_STATES
 
     @property
-    def holds_workers(self) -> bool:
+    def has_active_attempt(self) -> bool:
         """Tell whether an attempt is under way."""
-        return self.state in HOLDS_WORKERS
+        return self.state in ACTIVE_STATES
 
     def reached_stage(self) -> Stage:
         """Return the furthest stage that is known to have been reached."""
         if self.checkpoint_step != NO_CHECKPOINT:
             return Stage.CHECKPOINTED
-        if self.run is not Run.NOT_RUN:
+        if self.run is not RunCertainty.NOT_RUN:
             return Stage.RUNNING
         if self.state is RequestState.PLACED:
             return Stage.PLACED
--- a/packages/agateferry-service/agateferry_service/requests/tests/test_ledger.py
+++ b/packages/agateferry-service/agateferry_service/requests/tests/test_ledger.py
@@ -1,7 +1,14 @@
 import testtools
 
 from agateferry_core.demand import Demand, Urgency
-from agateferry_service.requests import Ledger, OutcomeKind, RequestSpec, RequestState, Run, Stage
+from agateferry_service.requests import (
+    CommandResultKind,
+    Ledger,
+    RequestSpec,
+    RequestState,
+    RunCertainty,
+    Stage,
+)
 from agateferry_service.requests.codec import spec_to_pb
 from agateferry_service.rpc import commands_pb2 as pb
 
@@ -48,14 +55,14 @@
     def test_a_resend_finds_the_first_request(self):
         ledger = Ledger()
         accept(ledger, key="k")
-        outcome = accept(ledger, key="k", request_id="z.2")
-        self.assertEqual((OutcomeKind.DUPLICATE, "z.1"), (outcome.kind, outcome.request.id))
+        result = accept(ledger, key="k", request_id="z.2")
+        self.assertEqual((CommandResultKind.DUPLICATE, "z.1"), (result.kind, result.request.id))
 
     def test_a_key_with_another_body_is_refused(self):
         ledger = Ledger()
         accept(ledger, key="k")
-        outcome = accept(ledger, key="k", request_id="z.2", digest=b"other")
-        self.assertEqual((OutcomeKind.KEY_REUSED, 1), (outcome.kind, len(ledger)))
+        result = accept(ledger, key="k", request_id="z.2", digest=b"other")
+        self.assertEqual((CommandResultKind.KEY_REUSED, 1), (result.kind, len(ledger)))
 
     def test_keys_survive_a_snapshot_and_go_with_their_request(self):
         ledger = Ledger()
@@ -74,7 +81,7 @@
         accept(ledger)
         request = ledger.cancel(pb.RequestCancel(request_id="z.1")).request
         self.assertEqual(
-            (RequestState.CANCELLED, Stage.ACCEPTED, Run.NOT_RUN),
+            (RequestState.CANCELLED, Stage.ACCEPTED, RunCertainty.NOT_RUN),
             (request.state, request.stage, request.run),
         )
 
@@ -83,8 +90,8 @@
         accept(ledger, placed=True)
         ledger.cancel(pb.RequestCancel(request_id="z.1"))
         ledger.finish(pb.Finish(request_id="z.1", attempt=1, answers=["a"]))
-        late = fail(ledger, Run.RAN)
-        self.assertEqual(OutcomeKind.ALREADY_ENDED, late.kind)
+        late = fail(ledger, RunCertainty.RAN)
+        self.assertEqual(CommandResultKind.ALREADY_ENDED, late.kind)
         self.assertEqual(
             (RequestState.FINISHED, ("a",)), (late.request.state, late.request.answers)
         )
@@ -94,7 +101,7 @@
         accept(ledger, placed=True)
         ledger.cancel(pb.RequestCancel(request_id="z.1"))
         stopped = pb.AttemptFailed(
-            request_id="z.1", attempt=1, run=Run.RAN, progress=0.5, checkpoint_step=4
+            request_id="z.1", attempt=1, run=RunCertainty.RAN, progress=0.5, checkpoint_step=4
         )
         request = ledger.attempt_failed(stopped).request
         self.assertEqual(
@@ -106,37 +113,41 @@
         accept(ledger)
         first = ledger.cancel(pb.RequestCancel(request_id="z.1", wall_ms=1)).request
         again = ledger.cancel(pb.RequestCancel(request_id="z.1", wall_ms=9))
-        self.assertEqual((OutcomeKind.ALREADY_ENDED, 1), (again.kind, first.ended_wall_ms))
+        self.assertEqual((CommandResultKind.ALREADY_ENDED, 1), (again.kind, first.ended_wall_ms))
 
 
 class AttemptTests(testtools.TestCase):
     def test_work_that_is_not_idempotent_is_never_tried_again_once_it_may_have_run(self):
         ledger = Ledger()
         accept(ledger, placed=True, idempotent=False)
-        request = fail(ledger, Run.MAY_HAVE_RUN).request
-        self.assertEqual((RequestState.FAILED, Run.MAY_HAVE_RUN), (request.state, request.run))
+        request = fail(ledger, RunCertainty.MAY_HAVE_RUN).request
+        self.assertEqual(
+            (RequestState.FAILED, RunCertainty.MAY_HAVE_RUN), (request.state, request.run)
+        )
         again = ledger.place(pb.Place(request_id="z.1", attempt=2))
-        self.assertEqual(OutcomeKind.STALE, again.kind)
+        self.assertEqual(CommandResultKind.STALE, again.kind)
 
     def test_work_that_is_not_idempotent_waits_again_when_it_was_certainly_not_run(self):
         ledger = Ledger()
         accept(ledger, placed=True, idempotent=False)
-        self.assertEqual(RequestState.ACCEPTED, fail(ledger, Run.NOT_RUN).request.state)
+        self.assertEqual(RequestState.ACCEPTED, fail(ledger, RunCertainty.NOT_RUN).request.state)
 
     def test_attempts_are_bounded(self):
         ledger = Ledger()
         accept(ledger, placed=True, max_attempts=2)
-        fail(ledger, Run.RAN)
+        fail(ledger, RunCertainty.RAN)
         ledger.place(pb.Place(request_id="z.1", attempt=2))
-        self.assertEqual(RequestState.FAILED, fail(ledger, Run.RAN, attempt=2).request.state)
+        self.assertEqual(
+            RequestState.FAILED, fail(ledger, RunCertainty.RAN, attempt=2).request.state
+        )
 
     def test_a_late_answer_of_an_older_attempt_is_dropped(self):
         ledger = Ledger()
         accept(ledger, placed=True)
-        fail(ledger, Run.RAN)
+        fail(ledger, RunCertainty.RAN)
         ledger.place(pb.Place(request_id="z.1", attempt=2))
         late = ledger.finish(pb.Finish(request_id="z.1", attempt=1, answers=["old"]))
-        self.assertEqual((OutcomeKind.STALE, ()), (late.kind, late.request.answers))
+        self.assertEqual((CommandResultKind.STALE, ()), (late.kind, late.request.answers))
 
     def test_a_doubled_answer_changes_nothing(self):
         ledger = Ledger()
@@ -149,7 +160,7 @@
     def test_an_answer_after_the_end_changes_nothing(self):
         ledger = Ledger()
         accept(ledger, placed=True, idempotent=False)
-        fail(ledger, Run.MAY_HAVE_RUN)
+        fail(ledger, RunCertainty.MAY_HAVE_RUN)
         ledger.finish(pb.Finish(request_id="z.1", attempt=1, answers=["late"]))
         request = ledger.get("z.1")
         self.assertEqual((RequestState.FAILED, ()), (request.state, request.answers))
@@ -159,5 +170,5 @@
         accept(ledger, placed=True)
         self.assertEqual(
             [True, False, False],
-            [ledger.wants_lease(lease) for lease in ("z.1.1.0", "z.1.2.0", "other")],
+            [ledger.is_active_lease(lease) for lease in ("z.1.1.0", "z.1.2.0", "other")],
         )
