--- a/packages/agateferry-service/agateferry_service/cell/__init__.py
+++ b/packages/agateferry-service/agateferry_service/cell/__init__.py
@@ -1,1 +1,1 @@
-"""One availability zone's cell: its state machine, and what its leader does."""
+"""The replicated cell of one availability zone: its state machine and its leader."""
--- a/packages/agateferry-service/agateferry_service/cell/admission.py
+++ b/packages/agateferry-service/agateferry_service/cell/admission.py
@@ -1,4 +1,4 @@
-"""Completing a submission by its job record, or refusing it before anything is stored."""
+"""Admission of requests: completes a submission from its job record, or refuses it unstored."""
 
 from dataclasses import dataclass
 
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Check submissions against the records that are in force in this zone."""
+    """Checks submissions against the records in force in this zone."""
 
     catalog: Catalog
     clock: Clock
 
     def admit(self, req: pb.SubmitRequest) -> RequestSpec | pb.Refusal:
-        """Return the completed request, or why it was not run."""
+        """Return the completed request, or the refusal if it cannot be admitted."""
         if self.catalog.team(req.team) is None:
             return refusal(RefusalReason.UNKNOWN_TEAM, f"no team record is named {req.team}")
         job = self.catalog.job(req.job)
@@ -49,7 +49,7 @@
 
 
 def to_pending_request(spec: RequestSpec, clock: Clock) -> PendingRequest:
-    """Return a request as the scheduler sees it, its times on the monotonic clock."""
+    """Return the scheduler's form of a request, with its times on the monotonic clock."""
     offset_ms = clock.now_ms() - clock.wall_ms()
     return PendingRequest(
         request_id=spec.id,
--- a/packages/agateferry-service/agateferry_service/cell/attempts.py
+++ b/packages/agateferry-service/agateferry_service/cell/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that are under way in a zone."""
+"""The attempts that run in a zone, under its leader."""
 
 import asyncio
 from collections.abc import Callable
@@ -36,7 +36,7 @@
 
 
 class AttemptManager:
-    """Begin attempts whose intent is stored, and store how each ended."""
+    """Starts the attempts that the log holds, and proposes the outcome of each."""
 
     def __init__(self, ctx: CellContext, driver: Callable[[], SchedulerDriver]) -> None:
         self._ctx = ctx
@@ -47,11 +47,11 @@
         self._retry_budget = RetryBudget(ctx.times.retry_budget_percent)
 
     def __len__(self) -> int:
-        """Return how many attempts are under way."""
+        """Return how many attempts are running."""
         return len(self._running)
 
     def launch(self, request: Request, resumed: bool = False) -> None:
-        """Begin, or take up again, the attempt that the ledger holds for a request."""
+        """Start a request's stored attempt, or resume it after a leader change."""
         ctx = self._ctx
         if request.attempt == 1:
             self._retry_budget.record_first_attempt()
@@ -78,7 +78,7 @@
         ctx.tasks.spawn(self._run_attempt(request, attempt, request.attempt))
 
     def stop(self, request_id: str, outcome: AttemptOutcome) -> None:
-        """Stop an attempt, also one whose intent is not stored yet."""
+        """Stop an attempt; one that has not been launched yet is stopped at its launch."""
         attempt = self._running.get(request_id)
         if attempt is not None:
             attempt.stop(outcome)
@@ -86,13 +86,13 @@
             self._pending_stops[request_id] = outcome
 
     def discard_pending_stop(self, request_id: str) -> None:
-        """Drop a wish to stop an attempt that never came about."""
+        """Discard the pending stop of an attempt that was never launched."""
         self._pending_stops.pop(request_id, None)
 
     def on_lease_report(
         self, lease: str, final: bool, checkpoint_step: int, progress: float
     ) -> None:
-        """Take in what a worker announced of a lease; a final one is looked at now."""
+        """Pass a report on a lease to its attempt, which polls at once if the lease ended."""
         parsed = parse_lease(lease)
         attempt = self._running.get(parsed[0]) if parsed else None
         if parsed is None or attempt is None:
@@ -104,7 +104,7 @@
             self._spawn_progress(request, progress, checkpoint_step)
 
     def on_worker_lost(self, worker: str, detail: str) -> None:
-        """Tell every attempt on a worker that it is gone."""
+        """Fail the members of all attempts that run on a lost worker."""
         for attempt in self._running.values():
             attempt.on_worker_lost(worker, detail)
 
@@ -200,7 +200,7 @@
     ) -> CommandResult | None:
         if proposed.is_error():
             fields = {"kind": proposed.error.kind.value, "detail": proposed.error.detail}
-            self._ctx.log.warning(events.PROPOSAL_FAILED, request=request.id, **fields)
+            self._ctx.log.warning(events.OUTCOME_UNKNOWN, request=request.id, **fields)
             return None
         return proposed.ok if isinstance(proposed.ok, CommandResult) else None
 
@@ -232,7 +232,10 @@
             self._ctx.metrics.retried(result.reason)
 
     def _requeue(self, request: Request, result: AttemptResult) -> None:
-        """Queue a request again, the later the more often workers refused it."""
+        """Queue a request again, after an exponential delay unless it was preempted.
+
+        A request that may have run also spends retry budget, and waits longer when none is left.
+        """
         if result.outcome is AttemptOutcome.PREEMPTED:
             self._driver().feed(RequestQueued(to_pending_request(request.spec, self._ctx.clock)))
             return
--- a/packages/agateferry-service/agateferry_service/cell/catalog.py
+++ b/packages/agateferry-service/agateferry_service/cell/catalog.py
@@ -1,4 +1,4 @@
-"""What the records in force in this zone say about teams, jobs and decisions."""
+"""The teams, jobs and scheduling configuration that are in force in this zone."""
 
 from dataclasses import asdict, dataclass
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalog:
-    """Read the zone's copy of the records in the words of the scheduler."""
+    """Reads the zone's copy of the records and converts it to the scheduler's types."""
 
     records: RecordStore
     zone: str
@@ -38,7 +38,7 @@
         return record if isinstance(record, JobRecord) else None
 
     def scheduling(self) -> SchedulingConfig:
-        """Return the scheduling configuration, defaults in place of what no record states."""
+        """Return the scheduling configuration, with defaults for settings that no record states."""
         revision = self.records.get(Kind.CONFIG, SCHEDULING)
         if revision is None or not isinstance(revision.record, ConfigRecord):
             return SchedulingConfig()
--- a/packages/agateferry-service/agateferry_service/cell/cell.py
+++ b/packages/agateferry-service/agateferry_service/cell/cell.py
@@ -1,4 +1,4 @@
-"""One host's share in its zone's cell: the replica, and the leader's work while it leads."""
+"""One host's part of its zone's cell: the replica, and the leader's work while this host leads."""
 
 import asyncio
 import contextlib
@@ -15,9 +15,9 @@
 
 
 class Cell:
-    """Begin and end the leader's work as leadership comes and goes, and answer calls to it.
+    """Starts and stops the leader as this host gains and loses leadership, and serves its calls.
 
-    Every call is refused with `not-leader` and the leader's name while another host leads.
+    While another host leads, every call is refused with `not-leader` and the leader's name.
     """
 
     def __init__(
@@ -36,12 +36,12 @@
         ctx.proposer.on_outcome_uncertain = self._changed.set
 
     async def start(self) -> None:
-        """Start the replica and follow its leadership."""
+        """Start the replica and the task that follows its leadership."""
         await self.ctx.replica.start()
         self._follower_task = asyncio.create_task(self._follow_leadership())
 
     async def stop(self) -> None:
-        """Hand leadership on and stop taking part."""
+        """Stop the replica, which hands leadership on, and stop the leader's work."""
         await self.ctx.replica.stop()
         if self._follower_task is not None:
             self._follower_task.cancel()
@@ -56,7 +56,7 @@
         return await self.leader.submit(req)
 
     async def get_request(self, req: pb.LookRequest) -> pb.RequestReply:
-        """Return a request, if this host leads."""
+        """Return a request, possibly after a wait, if this host leads."""
         if not self.leader.active:
             return self._refuse_request()
         reply = await self.leader.get_request(req)
@@ -71,10 +71,10 @@
         return reply if ended or self.leader.active else self._refuse_request()
 
     async def announce(self, req: pb.AnnounceRequest) -> pb.AnnounceReply:
-        """Take a worker's announcement in, if this host leads.
+        """Process a worker's heartbeat, if this host leads.
 
-        The lease is checked again afterwards: a leader that was deposed meanwhile may not know of
-        a newer attempt, and must not have the worker stop it.
+        Leadership is checked again afterwards: a leader deposed in the meantime may not know of a
+        newer attempt and must not tell the worker to stop it.
         """
         if not self.leader.active:
             return pb.AnnounceReply(refusal=self._not_leader())
@@ -82,7 +82,7 @@
         return reply if self.leader.active else pb.AnnounceReply(refusal=self._not_leader())
 
     async def query(self, req: pb.QueryRequest) -> pb.QueryReply:
-        """Answer an operator's question, if this host leads."""
+        """Answer an operator's query, if this host leads."""
         if not self.leader.active:
             return pb.QueryReply(refusal=self._not_leader())
         return self._views.answer(req.what, req.name)
@@ -95,10 +95,10 @@
         return not_leader(None if leader == self.ctx.host else leader)
 
     async def _follow_leadership(self) -> None:
-        """Watch leadership; a change of term ends the old leader's work before the new begins.
+        """Start and stop the leader as leadership and term change.
 
-        So does a command without an outcome: the next beginning reads from the log what became
-        of it.
+        A change of term stops the old leader before the new one starts. A command whose outcome is
+        unknown also restarts the leader, which then reads from the log whether it was applied.
         """
         led_term = 0
         while True:
@@ -117,7 +117,7 @@
             await self._wait_for_leadership_change()
 
     async def _start_leading(self, term: int) -> int:
-        """Begin to lead and return the term; 0 when it failed, after a pause."""
+        """Start the leader and return the term, or 0 after a pause if that failed."""
         if await self.leader.start():
             self.ctx.metrics.leader_changed(LOG_NAME, True)
             return term
@@ -125,7 +125,7 @@
         return 0
 
     async def _wait_for_leadership_change(self) -> None:
-        """Return when leadership changes, or soon, since a lease can lapse without a call."""
+        """Wait for a leadership change, at most one check interval as a lease expires silently."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LEADERSHIP_CHECK_INTERVAL_S):
                 await self._changed.wait()
--- a/packages/agateferry-service/agateferry_service/cell/context.py
+++ b/packages/agateferry-service/agateferry_service/cell/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a cell's leader share."""
+"""The dependencies and time limits that the parts of a cell's leader share."""
 
 import random
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CellTimes:
-    """The bounds of a cell's leader, in milliseconds."""
+    """The time limits, intervals and rates of a cell's leader."""
 
     attempt: AttemptTimes = AttemptTimes()
     tick_ms: int = 200
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class CellContext:
-    """The collaborators that every part of a leader needs."""
+    """The dependencies that every part of a leader uses."""
 
     host: str
     machine: CellMachine
--- a/packages/agateferry-service/agateferry_service/cell/events.py
+++ b/packages/agateferry-service/agateferry_service/cell/events.py
@@ -2,32 +2,62 @@
 
 from agateferry_core.logs import Event
 
-LEADING = Event(4101, "leading the zone", "Nothing to do.")
-NOT_LEADING = Event(4102, "no longer leading the zone", "Nothing to do; another host takes over.")
-ACCEPTED = Event(4110, "request accepted", "Nothing to do.")
-PLACED = Event(4111, "request placed", "Nothing to do.")
-ENDED = Event(4112, "request ended", "Nothing to do.")
+LEADING = Event(
+    4101,
+    "started to lead the zone",
+    "Normal after a leader change; if frequent, see the hosts' disks and network.",
+)
+NOT_LEADING = Event(
+    4102,
+    "stopped leading the zone",
+    "Normal; another host takes over. If none logs 4101, see whether most hosts of the zone run.",
+)
+ACCEPTED = Event(
+    4110, "request accepted", "Normal; see the queue if 4111 does not follow within its usual wait."
+)
+PLACED = Event(
+    4111, "request placed", "Normal; see 4113 for the same request if its attempt number grows."
+)
+ENDED = Event(4112, "request ended", "Normal; for state failed, see 4113 for the same request.")
 ATTEMPT_FAILED = Event(
-    4113, "attempt ended without an answer", "Look at the detail and at the named workers."
+    4113, "attempt ended without an answer", "See the detail, and the logs of the named workers."
 )
-LATE_RESULT = Event(
-    4114, "result of an attempt that nobody waits for dropped", "Nothing to do unless frequent."
+STALE_LEASE = Event(
+    4114,
+    "lease of an old attempt told to stop",
+    "Normal after a worker was silent for a while; if frequent, see the worker's network.",
+)
+PREEMPTING = Event(
+    4115,
+    "preempting an attempt",
+    "Normal; if frequent, see guarantees and urgent load against the zone's capacity.",
+)
+WORKER_CHANGED = Event(
+    4120,
+    "worker changed",
+    "Normal when a worker joins, leaves or restarts; if frequent, see its log.",
 )
-PREEMPTING = Event(4115, "taking workers back", "Nothing to do.")
-WORKER_CHANGED = Event(4120, "worker changed", "Nothing to do.")
 WORKER_LOST = Event(
     4121, "worker lost", "See whether the worker runs and reaches an entry host of its zone."
 )
 QUARANTINE = Event(
-    4122, "worker quarantined or released", "Look at the worker's own log if it fails everything."
+    4122, "worker quarantined or released", "See the worker's own log if it stays quarantined."
 )
 GUARANTEE_AT_RISK = Event(
-    4130, "guarantees cannot all be laid out", "Bring workers back or lower the named guarantees."
+    4130,
+    "guarantees at risk changed",
+    "If teams are named, add workers or lower the guarantees of these teams.",
+)
+RECORDS_ADOPTED = Event(
+    4140,
+    "records in force in this zone",
+    "Normal after a change of records; compare the revisions if zones behave differently.",
 )
-RECORDS_ADOPTED = Event(4140, "records in force in this zone", "Nothing to do.")
 RECORDS_UNREACHED = Event(
-    4141, "records plane not reached", "See whether other zones can be reached; work goes on."
+    4141,
+    "records plane unreachable",
+    "Requests are served with the last known records; see whether other zones can be reached.",
 )
-PROPOSAL_FAILED = Event(
-    4150, "a command has no outcome", "Nothing to do when leadership changed; else see the disk."
+OUTCOME_UNKNOWN = Event(
+    4150, "outcome of a command unknown", "Normal when leadership changed; otherwise see the disk."
 )
--- a/packages/agateferry-service/agateferry_service/cell/gauges.py
+++ b/packages/agateferry-service/agateferry_service/cell/gauges.py
@@ -1,4 +1,4 @@
-"""The gauges of a cell, brought up to date when they are read."""
+"""The gauges of a cell, which are refreshed when metrics are read."""
 
 from collections import Counter
 
@@ -9,7 +9,7 @@
 
 
 def refresh_gauges(metrics: Metrics, machine: CellMachine) -> None:
-    """State workers, waiting and running requests and the revision, as this host has them."""
+    """Set the gauges of workers, requests and the records revision from this host's state."""
     workers = Counter(item.state for item in machine.registry)
     for state in WorkerState:
         metrics.set_workers(state.value, workers[state])
--- a/packages/agateferry-service/agateferry_service/cell/leader.py
+++ b/packages/agateferry-service/agateferry_service/cell/leader.py
@@ -1,7 +1,7 @@
-"""What the leader of a zone's cell does: admit, place, dispatch and answer.
+"""The leader of a zone's cell: admits, places and dispatches requests, and answers callers.
 
-A leader begins with what the cell's log says and keeps nothing of its own that the next leader
-would miss: the scheduler and the attempts are rebuilt from the ledger each time.
+A leader starts from the state in the cell's log and keeps nothing that the next leader would need:
+the scheduler and the attempts are rebuilt from the ledger at each start.
 """
 
 import asyncio
@@ -52,7 +52,7 @@
 
 
 class CellLeader:
-    """Serve a zone while this host leads its cell."""
+    """Serves a zone while this host leads its cell."""
 
     def __init__(
         self,
@@ -73,20 +73,20 @@
 
     @property
     def active(self) -> bool:
-        """Tell whether this host serves as the leader now."""
+        """Tell whether this host leads and the leader's work has started."""
         return self._driver is not None and self.ctx.replica.is_leader
 
     def driver(self) -> SchedulerDriver:
-        """Return the scheduler's driver; there is one only while this host leads."""
+        """Return the scheduler's driver, which exists only while this host leads."""
         if self._driver is None:
-            raise RuntimeError("the scheduler was asked for while this host does not lead")
+            raise RuntimeError("the scheduler is used while this host does not lead")
         return self._driver
 
     async def start(self) -> bool:
-        """Take up what the log says; return False when leadership was lost meanwhile.
+        """Rebuild the leader's state from the log; return False if leadership was lost meanwhile.
 
-        A command that changes nothing goes through the log first, so that every command which this
-        host proposed before and whose outcome it did not learn has been applied or never will be.
+        A command without effect is committed first as a barrier: after it, every earlier command of
+        this host with an unknown outcome has either been applied or never will be.
         """
         barrier = commands_pb2.Forget(ended_before_wall_ms=0)
         if (await self.ctx.proposer.propose(forget=barrier)).is_error():
@@ -104,7 +104,7 @@
         return True
 
     async def stop(self) -> None:
-        """Drop all that belongs to leading; what runs on workers goes on."""
+        """Cancel the leader's tasks and drop its state; work on workers continues."""
         if self._driver is None:
             return
         await self.ctx.tasks.cancel_all()
@@ -113,7 +113,7 @@
         self.ctx.log.info(events.NOT_LEADING)
 
     async def submit(self, req: cell_pb2.SubmitRequest) -> cell_pb2.RequestReply:
-        """Admit a request, store it and, if asked, wait for its end."""
+        """Admit a request, store it and, if the caller asked for it, wait for its end."""
         self._notify_records_changed()
         admitted = self._admission().admit(req)
         if isinstance(admitted, cell_pb2.Refusal):
@@ -124,14 +124,14 @@
         return await self._accept_new(admitted, req.wait_ms)
 
     async def get_request(self, req: cell_pb2.LookRequest) -> cell_pb2.RequestReply:
-        """Return a request, at its end or after the wait that was asked for."""
+        """Return a request when it has ended, or after the caller's wait."""
         request = self.ctx.machine.ledger.get(req.request_id)
         if request is None:
             return _unknown_request_reply(req.request_id)
         return await self._reply(request, req.wait_ms)
 
     async def cancel(self, req: cell_pb2.CancelRequest) -> cell_pb2.RequestReply:
-        """Cancel a request and return it with the stage that it had reached."""
+        """Cancel a request and return it with the stage that it reached."""
         command = commands_pb2.RequestCancel(
             request_id=req.request_id, wall_ms=self.ctx.clock.wall_ms()
         )
@@ -147,7 +147,7 @@
         return await self._reply(request, self.ctx.times.cancel_wait_ms)
 
     def execute(self, decision: Decision) -> None:
-        """Begin to carry out one decision of the scheduler."""
+        """Start to execute one decision of the scheduler."""
         match decision:
             case Start():
                 self.ctx.tasks.spawn(self._place(decision))
@@ -179,7 +179,7 @@
         return await self._reply(known, wait_ms)
 
     async def _accept_new(self, spec: RequestSpec, wait_ms: int) -> cell_pb2.RequestReply:
-        """Ask the scheduler first, so that a refusal stores nothing, and store what it decided."""
+        """Store a new request after the scheduler's decision, so that a refusal stores nothing."""
         decision = self.driver().queue_request(to_pending_request(spec, self.ctx.clock))
         if isinstance(decision, Reject):
             return self._refuse(decision.reason, decision.detail, decision.retry_after_ms or 0)
@@ -193,7 +193,7 @@
             return await self._refuse_uncommitted(spec, decision, proposed.error)
         result = proposed.ok
         if not isinstance(result, CommandResult) or result.request is None:
-            raise TypeError("the ledger gave no outcome for an accepted request")
+            raise TypeError("the ledger returned no request for an accept command")
         request = result.request
         if result.kind is not CommandResultKind.DONE:
             self._withdraw(spec.id, decision)
@@ -214,7 +214,7 @@
         return cell_pb2.RequestReply(refusal=refused)
 
     def _withdraw(self, request_id: str, decision: Start | None) -> None:
-        """Take back what the scheduler was told of a request that did not come about."""
+        """Withdraw a request from the scheduler that was not stored as new."""
         if decision is None:
             self.driver().feed(RequestWithdrawn(request_id))
         else:
@@ -237,7 +237,7 @@
         return Placement(assignment.member, assignment.worker, incarnation, assignment.accelerators)
 
     async def _place(self, decision: Start) -> None:
-        """Store the intent that a decision to start gives, and begin the attempt."""
+        """Store the placements of a start decision, and launch the attempt."""
         known = self.ctx.machine.ledger.get(decision.request_id)
         command = commands_pb2.Place(
             request_id=decision.request_id,
@@ -298,7 +298,7 @@
         self.ctx.log.warning(events.QUARANTINE, worker=worker, lifted=lifted, detail=detail)
 
     def _resume_requests(self) -> None:
-        """Tell the scheduler of every request that has no end yet, those that run first."""
+        """Report every open request to the scheduler, running ones first, and resume attempts."""
         open_requests = list(self.ctx.machine.ledger.open_requests())
         now_ms = self.ctx.clock.now_ms()
         for request in open_requests:
@@ -320,7 +320,7 @@
         return to_pending_request(request.spec, self.ctx.clock)
 
     async def _run_periodic_work(self) -> None:
-        """Let time pass for the scheduler, silent workers, records and old answers."""
+        """Run the periodic work: scheduler ticks, records, silent workers and old requests."""
         forget_at_ms = self.ctx.clock.now_ms() + self.ctx.times.forget_every_ms
         while True:
             await asyncio.sleep(self.ctx.times.tick_ms / 1000)
@@ -332,7 +332,7 @@
                 await self._forget_old_requests()
 
     def _notify_records_changed(self) -> None:
-        """Tell the scheduler of teams and configuration when a newer revision is in force."""
+        """Report teams and configuration to the scheduler when a newer revision is in force."""
         revision = self.ctx.machine.records.revision
         if revision == self._notified_revision:
             return
@@ -349,5 +349,5 @@
 
 
 def _unknown_request_reply(request_id: str) -> cell_pb2.RequestReply:
-    detail = f"no request {request_id} is known; it may have been forgotten"
+    detail = f"no request {request_id} is known; it may have expired"
     return cell_pb2.RequestReply(refusal=refusal(RefusalReason.UNKNOWN_REQUEST, detail))
--- a/packages/agateferry-service/agateferry_service/cell/machine.py
+++ b/packages/agateferry-service/agateferry_service/cell/machine.py
@@ -10,9 +10,9 @@
 
 
 class CellMachine:
-    """Apply the cell's commands to the ledger, the registry and the zone's copy of the records.
+    """Applies the cell's commands to the ledger, the registry and the zone's copy of the records.
 
-    `listeners` are called after each command with the command and its outcome, on every host.
+    `listeners` are called on every host after each command, with the command and its result.
     """
 
     def __init__(self, zone: str) -> None:
@@ -23,7 +23,7 @@
         self.listeners: list[Callable[[pb.Command, Any], None]] = []
 
     def apply(self, index: int, command: bytes) -> Any:
-        """Apply one command and return the outcome of the part that it belongs to."""
+        """Apply one command and return its result."""
         message = pb.Command.FromString(command)
         result = self._apply_message(message)
         for listener in self.listeners:
@@ -31,7 +31,7 @@
         return result
 
     def snapshot(self) -> bytes:
-        """Return the whole state as one message."""
+        """Return the whole state as one serialized message."""
         stored = pb.StoredCell(
             requests=self.ledger.store(),
             workers=self.registry.store(),
@@ -40,7 +40,7 @@
         return stored.SerializeToString()
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by that of a snapshot."""
+        """Replace the whole state with a snapshot."""
         stored = pb.StoredCell.FromString(data)
         self.ledger.load(stored.requests)
         self.registry.load(list(stored.workers))
@@ -69,4 +69,4 @@
             case "adopt":
                 return self.records.adopt(decode_revisions(message.adopt.revisions))
             case unknown:
-                raise ValueError(f"a command of an unknown kind in the cell's log: {unknown}")
+                raise ValueError(f"unknown kind of command in the cell's log: {unknown}")
--- a/packages/agateferry-service/agateferry_service/cell/proposer.py
+++ b/packages/agateferry-service/agateferry_service/cell/proposer.py
@@ -1,4 +1,4 @@
-"""Proposing commands to the cell's log."""
+"""Proposals of commands to the cell's log."""
 
 from collections.abc import Callable
 
@@ -13,10 +13,10 @@
 
 
 class Proposer:
-    """Turn commands into log entries and failures into refusals.
+    """Proposes commands to the replicated log.
 
-    `doubtful` is set by a command whose outcome was not learned. The leader's own view may then
-    lack what the log holds, so it has to be built anew from the ledger before it is trusted again.
+    `outcome_uncertain` is set when the outcome of a command is unknown. The leader's state may then
+    lack what the log holds, so the leader must restart and rebuild it from the ledger.
     """
 
     def __init__(self, replica: Replica, metrics: Metrics) -> None:
@@ -26,12 +26,12 @@
         self.on_outcome_uncertain: Callable[[], None] = lambda: None
 
     def mark_outcome_uncertain(self) -> None:
-        """Have the leader's view built anew from the log."""
+        """Request a restart of the leader, which rebuilds its state from the ledger."""
         self.outcome_uncertain = True
         self.on_outcome_uncertain()
 
     async def propose(self, **command: object) -> Result[object, ProposeError]:
-        """Propose one command, named by its field, and return the machine's outcome.
+        """Propose one command, named by its field, and return the state machine's result.
 
         For example `await proposer.propose(cancel=pb.RequestCancel(request_id="z.1"))`.
         """
@@ -46,7 +46,7 @@
 
 
 def refusal_for_propose_error(error: ProposeError) -> cell_pb2.Refusal:
-    """Tell a caller why its command has no outcome."""
+    """Return the refusal for a command that failed or whose outcome is unknown."""
     match error.kind:
         case ProposeErrorKind.NOT_LEADER:
             return not_leader(error.leader)
@@ -56,5 +56,5 @@
             detail = error.detail or "the disk failed"
             return refusal(RefusalReason.STORAGE_FAILED, detail, RETRY_AFTER_MS)
         case ProposeErrorKind.UNKNOWN:
-            detail = "the state's answer was lost; ask again with the same key"
+            detail = "the outcome is unknown; retry with the same key"
             return refusal(RefusalReason.OUTCOME_UNKNOWN, detail, RETRY_AFTER_MS)
--- a/packages/agateferry-service/agateferry_service/cell/refusals.py
+++ b/packages/agateferry-service/agateferry_service/cell/refusals.py
@@ -1,4 +1,4 @@
-"""The reasons for which a call is refused, and the replies that carry them."""
+"""The reasons for refusing a call, and constructors of refusals."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Say why a call was refused; also the label of the counter of refusals."""
+    """Why a call was refused; the value is also a label of the refusals counter."""
 
     NOT_LEADER = "not-leader"
     NO_LEADER = "no-leader"
@@ -29,11 +29,11 @@
 
 
 def refusal(reason: str, detail: str, retry_after_ms: int = 0, leader: str = "") -> pb.Refusal:
-    """Make a refusal; `retry_after_ms` of 0 says that asking again is of no use."""
+    """Return a refusal; `retry_after_ms` is 0 where a retry cannot succeed."""
     return pb.Refusal(reason=reason, detail=detail, retry_after_ms=retry_after_ms, leader=leader)
 
 
 def not_leader(leader: str | None) -> pb.Refusal:
-    """Refuse because another host leads, and name it where it is known."""
-    detail = f"ask {leader}" if leader else "no leader is known here"
+    """Return the refusal of a host that does not lead; it names the leader if known."""
+    detail = f"the leader is {leader}" if leader else "this host knows no leader"
     return refusal(RefusalReason.NOT_LEADER, detail, RETRY_AFTER_MS, leader or "")
--- a/packages/agateferry-service/agateferry_service/cell/request_metrics.py
+++ b/packages/agateferry-service/agateferry_service/cell/request_metrics.py
@@ -1,4 +1,4 @@
-"""Counting the ends of requests."""
+"""Metrics of requests that have ended."""
 
 from agateferry_core.metrics import Metrics
 from agateferry_service.requests import Request, RequestState
--- a/packages/agateferry-service/agateferry_service/cell/scheduler_driver.py
+++ b/packages/agateferry-service/agateferry_service/cell/scheduler_driver.py
@@ -1,4 +1,4 @@
-"""The scheduler of a zone, driven by its leader."""
+"""The leader's interface to its zone's scheduler."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -19,14 +19,14 @@
 
 
 class DecisionHandler(Protocol):
-    """Carry decisions out; a handler must not feed the scheduler before it returns."""
+    """Executes decisions; a handler must not feed the scheduler before it returns."""
 
     def execute(self, decision: Decision) -> None:
-        """Begin to carry out one decision."""
+        """Start to execute one decision."""
 
 
 class SchedulerDriver:
-    """Feed events to a scheduler and pass its decisions on, in order."""
+    """Feeds events to a scheduler and passes its decisions on, in order."""
 
     def __init__(
         self,
@@ -41,12 +41,12 @@
         self._record_event = record_event
 
     def feed(self, event: SchedulerEvent) -> None:
-        """Take an event in and carry out all that follows."""
+        """Feed an event to the scheduler and execute the decisions that follow."""
         for decision in self._step(event):
             self._handler.execute(decision)
 
     def queue_request(self, request: PendingRequest) -> Start | Reject | None:
-        """Queue a new request and return what was decided on it at once, not carried out."""
+        """Queue a new request and return its own decision, if any, without executing it."""
         own_decision: Start | Reject | None = None
         for decision in self._step(RequestQueued(request)):
             if isinstance(decision, Start | Reject) and decision.request_id == request.request_id:
@@ -56,7 +56,7 @@
         return own_decision
 
     def explain(self, request_id: str) -> Explanation:
-        """Tell why a request is where it is."""
+        """Explain why a request is in its present state."""
         return self._scheduler.explain(request_id, self._clock.now_ms())
 
     def _step(self, event: SchedulerEvent) -> list[Decision]:
--- a/packages/agateferry-service/agateferry_service/cell/servicer.py
+++ b/packages/agateferry-service/agateferry_service/cell/servicer.py
@@ -1,4 +1,4 @@
-"""The gRPC face of a cell."""
+"""The gRPC service of a cell."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,10 +15,10 @@
 
 
 class CellServicer(cell_pb2_grpc.CellServicer):
-    """Pass calls from other entry hosts to this host's cell.
+    """Serves calls from other entry hosts.
 
-    gRPC cancels a handler when its caller dies or stops waiting. A call goes on to its end all the
-    same, or a request could be stored and never be carried out.
+    gRPC cancels a handler when its caller disconnects or times out. The call still runs to its end,
+    because otherwise a request could be stored but never launched.
     """
 
     def __init__(self, cell: Cell) -> None:
@@ -38,15 +38,15 @@
         return await self._serve(request, self._cell.cancel(request))
 
     async def Announce(self, request: pb.AnnounceRequest, context: Any) -> pb.AnnounceReply:
-        """Take an announcement in."""
+        """Process a worker's heartbeat."""
         return await self._serve(request, self._cell.announce(request))
 
     async def Query(self, request: pb.QueryRequest, context: Any) -> pb.QueryReply:
-        """Answer an operator's question."""
+        """Answer an operator's query."""
         return await self._serve(request, self._cell.query(request))
 
     async def _serve(self, request: Message, handler: Coroutine[Any, Any, Reply]) -> Reply:
-        """Do the work of a call to its end, and count the bytes that it moved."""
+        """Run a call to its end, even if its caller leaves, and count its bytes."""
         count_received(request.ByteSize())
         task = asyncio.get_running_loop().create_task(handler)
         self._running_calls.add(task)
--- a/packages/agateferry-service/agateferry_service/cell/tasks.py
+++ b/packages/agateferry-service/agateferry_service/cell/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that end with the leader that began them."""
+"""Background tasks that end with the leader that started them."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,20 +6,20 @@
 
 
 class TaskGroup:
-    """Hold tasks until they are done, and cancel those left over."""
+    """Keeps tasks until they are done, and cancels the remaining ones on request."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Begin a piece of work; an exception in it is passed to the loop's handler."""
+        """Start a task; an exception in it goes to the event loop's exception handler."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._done)
         return task
 
     async def cancel_all(self) -> None:
-        """Cancel what is left and wait for it."""
+        """Cancel the remaining tasks and wait for them."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/packages/agateferry-service/agateferry_service/cell/tests/support.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/support.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of a cell: a replica in memory and workers that keep their leases."""
+"""Fakes for tests of a cell: an in-memory replica, and workers that keep leases."""
 
 import asyncio
 import contextlib
@@ -41,7 +41,7 @@
 
 
 class MemoryReplica:
-    """Apply each command at once; `is_leader` and `failing` are switched by tests."""
+    """Applies each command at once; tests set `is_leader` and `failing`."""
 
     def __init__(self, machine):
         self.machine = machine
@@ -79,7 +79,7 @@
 
 
 class FakeWorkers:
-    """Keep leases as workers do; `starts` counts what really ran, by request and member."""
+    """Keeps leases as workers do; `starts` counts actual starts by request and member."""
 
     def __init__(self):
         self.leases = {}
--- a/packages/agateferry-service/agateferry_service/cell/tests/test_cell.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/test_cell.py
@@ -16,7 +16,7 @@
 
 
 class SubmitTests(testtools.TestCase):
-    def test_a_request_is_answered_whole(self):
+    def test_a_request_returns_all_answers(self):
         async def main():
             async with running_cell() as cell:
                 return (await cell.submit(submission())).view
@@ -24,7 +24,7 @@
         view = run_async(main())
         self.assertEqual(("finished", ["answer of z.1.1.0"]), (view.state, list(view.answers)))
 
-    def test_a_refused_request_leaves_no_trace_and_was_not_run(self):
+    def test_a_refused_request_is_not_stored(self):
         async def main():
             async with running_cell() as cell:
                 reply = await cell.submit(submission(job="nonsense"))
@@ -32,14 +32,14 @@
 
         self.assertEqual(("unknown-job", 0), run_async(main()))
 
-    def test_work_that_is_not_idempotent_needs_a_key(self):
+    def test_a_job_that_is_not_idempotent_needs_a_key(self):
         async def main():
             async with running_cell() as cell:
                 return (await cell.submit(submission(job="once"))).refusal.reason
 
         self.assertEqual("key-required", run_async(main()))
 
-    def test_what_can_never_run_is_told_at_once(self):
+    def test_an_infeasible_request_is_refused_at_once(self):
         async def main():
             async with running_cell() as cell:
                 huge = pb.SubmitRequest()
@@ -63,7 +63,7 @@
         self.assertEqual(("z.1", "z.1"), run_async(main()))
         self.assertEqual({("z.1", 0): 1}, workers.starts)
 
-    def test_two_sends_at_the_same_moment_run_once(self):
+    def test_two_concurrent_submissions_with_one_key_run_once(self):
         workers = FakeWorkers()
 
         async def main():
@@ -85,7 +85,7 @@
 
         self.assertEqual("key-reused", run_async(main()))
 
-    def test_a_lost_outcome_is_not_told_as_not_run(self):
+    def test_an_unknown_outcome_is_not_reported_as_not_run(self):
         async def main():
             async with running_cell() as cell:
                 cell.ctx.replica.failing = ProposeErrorKind.UNKNOWN
@@ -93,7 +93,7 @@
 
         self.assertEqual("outcome-unknown", run_async(main()))
 
-    def test_a_team_counts_from_the_moment_its_record_is_in_force(self):
+    def test_a_new_team_can_submit_once_its_record_is_in_force(self):
         async def main():
             async with running_cell() as cell:
                 give_records(cell.ctx.machine, team="newcomer")
@@ -105,7 +105,7 @@
 
 
 class CancelTests(testtools.TestCase):
-    def test_a_running_request_is_stopped_and_told_its_stage(self):
+    def test_a_running_request_is_stopped_and_reports_its_stage(self):
         workers = FakeWorkers()
         workers.finish_at_once = False
 
@@ -146,7 +146,7 @@
 
 
 class LeaderChangeTests(testtools.TestCase):
-    def test_the_next_leader_takes_an_attempt_up_without_a_second_start(self):
+    def test_the_next_leader_resumes_an_attempt_without_a_second_start(self):
         workers = FakeWorkers()
         workers.finish_at_once = False
 
@@ -204,7 +204,7 @@
 
         self.assertEqual(["not-leader", "not-leader"], run_async(main()))
 
-    def test_a_deposed_leader_answers_nothing(self):
+    def test_a_deposed_leader_refuses_with_the_name_of_the_leader(self):
         async def main():
             async with running_cell() as cell:
                 cell.ctx.replica.is_leader = False
@@ -214,8 +214,8 @@
         refusal = run_async(main())
         self.assertEqual(("not-leader", "h2"), (refusal.reason, refusal.leader))
 
-    def test_a_command_whose_outcome_was_lost_is_taken_up_from_the_log(self):
-        """The accept is applied though its proposer was told that its fate is unknown."""
+    def test_a_command_with_unknown_outcome_is_resumed_from_the_log(self):
+        """The accept command is applied although its proposer sees an unknown outcome."""
         workers = FakeWorkers()
 
         async def main():
@@ -231,7 +231,7 @@
         self.assertEqual(("outcome-unknown", "finished"), run_async(main()))
         self.assertEqual({("z.1", 0): 1}, workers.starts)
 
-    def test_an_end_whose_outcome_was_lost_is_taken_up_from_the_log(self):
+    def test_a_finish_with_unknown_outcome_is_resumed_from_the_log(self):
         workers = FakeWorkers()
         workers.finish_at_once = False
 
@@ -251,7 +251,7 @@
 
 
 class WorkerTests(testtools.TestCase):
-    def test_a_leaving_worker_gets_nothing_new(self):
+    def test_a_leaving_worker_gets_no_new_attempt(self):
         async def main():
             async with running_cell(names=("w1",)) as cell:
                 await cell.announce(announcement("w1", state="leaving"))
@@ -259,7 +259,7 @@
 
         self.assertEqual("accepted", run_async(main()))
 
-    def test_idempotent_work_of_a_lost_worker_runs_elsewhere(self):
+    def test_an_idempotent_request_on_a_lost_worker_runs_elsewhere(self):
         workers = FakeWorkers()
         workers.finish_at_once = False
 
@@ -277,7 +277,7 @@
         view = run_async(main())
         self.assertEqual(("finished", 2), (view.state, view.attempt))
 
-    def test_other_work_of_a_lost_worker_may_have_run_and_runs_no_second_time(self):
+    def test_a_non_idempotent_request_on_a_lost_worker_is_not_run_again(self):
         workers = FakeWorkers()
         workers.finish_at_once = False
 
@@ -309,7 +309,7 @@
         self.assertEqual((2_000, 20_800), (few, many))
         self.assertGreater(silence, 2 * many)
 
-    def test_leases_that_nobody_waits_for_are_stopped_or_released(self):
+    def test_stale_leases_are_stopped_or_released(self):
         async def main():
             async with running_cell() as cell:
                 await cell.submit(submission())
@@ -322,7 +322,7 @@
         reply = run_async(main())
         self.assertEqual((["z.1.1.0"], ["z.9.1.0"]), (list(reply.release), list(reply.stop)))
 
-    def test_a_refused_gang_starts_nowhere_and_is_tried_again(self):
+    def test_a_refused_gang_starts_no_member_and_is_retried(self):
         workers = FakeWorkers()
         workers.refusing["w2"] = "no-capacity"
 
--- a/packages/agateferry-service/agateferry_service/cell/tests/test_leader.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/test_leader.py
@@ -19,11 +19,11 @@
 from agateferry_service.rpc import cell_pb2 as pb
 from agateferry_state.replica import ProposeError, ProposeErrorKind
 
-URGENT_START_S = 3.6
+URGENT_START_LIMIT_S = 3.6
 
 
-def lose_at(replica, step, applied):
-    """Let the command of that number be the last, applied or not, without an outcome."""
+def lose_leadership_at(replica, step, applied):
+    """Lose leadership at command number `step`, which is applied or not, its outcome unknown."""
     propose, numbers = replica.propose, itertools.count()
 
     async def propose_until_lost(command):
@@ -38,7 +38,7 @@
 
 
 class StepSweepTests(testtools.TestCase):
-    """Leadership is lost at each command of a request's life, and the caller resends."""
+    """Leadership is lost at each command of a request in turn, and the caller resends it."""
 
     STEPS = 6
 
@@ -46,7 +46,7 @@
         workers = FakeWorkers()
         async with running_cell(workers) as cell:
             machine = cell.ctx.machine
-            lose_at(cell.ctx.replica, step, applied)
+            lose_leadership_at(cell.ctx.replica, step, applied)
             await cell.submit(submission(job, key="k", wait_ms=60))
             started_uncommitted = not len(machine.ledger) and bool(workers.starts)
         async with running_cell(workers, names=(), machine=machine) as cell:
@@ -55,7 +55,7 @@
         return started_uncommitted, view.state, sorted(workers.starts.values())
 
     async def run_with_dispatch_before_commit(self):
-        """Lose a command whose outcome was told before it was committed."""
+        """Restore the state from before a submission, as if its commands were never committed."""
         workers, machine = FakeWorkers(), CellMachine("z")
         async with running_cell(workers) as cell:
             machine.restore(cell.ctx.machine.snapshot())
@@ -64,7 +64,7 @@
             await cell.submit(submission("once", key="k", request_id="z.2"))
         return sorted(workers.starts.values())
 
-    def test_a_dispatch_before_the_commit_is_found(self):
+    def test_the_sweep_detects_a_dispatch_before_the_commit(self):
         self.assertEqual([1, 1], run_async(self.run_with_dispatch_before_commit()))
 
     def sweep(self, job, starts):
@@ -73,27 +73,27 @@
                 found = run_async(self.run_with_loss(job, step, applied))
                 self.assertEqual((False, "finished", starts), found, f"{step} {applied}")
 
-    def test_work_that_is_not_idempotent_runs_once(self):
+    def test_a_job_that_is_not_idempotent_runs_once(self):
         self.sweep("once", [1])
 
-    def test_a_gang_runs_whole(self):
+    def test_all_members_of_a_gang_run_once(self):
         self.sweep("gang", [1, 1, 1])
 
 
-class CancellationWaveTests(testtools.TestCase):
-    """Waiting requests are cancelled all at once, and an urgent one comes after them."""
+class MassCancellationTests(testtools.TestCase):
+    """All waiting requests are cancelled at once, and an urgent request is submitted after them."""
 
-    WAVE = 10_000
+    REQUESTS = 10_000
 
     def test_an_urgent_request_starts_in_time(self):
-        """The time is that of the processor, which other processes leave alone."""
+        """Processor time is measured, because other processes do not affect it."""
         workers = FakeWorkers()
         workers.finish_at_once = False
-        ids = [f"z.{number}" for number in range(self.WAVE)]
+        ids = [f"z.{number}" for number in range(self.REQUESTS)]
 
         async def main():
             machine = CellMachine("z")
-            give_records(machine, max_queued=self.WAVE)
+            give_records(machine, max_queued=self.REQUESTS)
             give_records(machine, team="u")
             async with running_cell(workers, machine=machine, scheduler=FairScheduler) as cell:
                 for name in ids:
@@ -113,15 +113,15 @@
 
         took_s, states = run_async(main(), 120)
         self.assertEqual({"cancelled"}, states)
-        self.assertTrue(took_s <= URGENT_START_S, took_s)
+        self.assertTrue(took_s <= URGENT_START_LIMIT_S, took_s)
 
-    def test_a_leader_lost_in_a_wave_loses_no_cancellation(self):
+    def test_a_leader_change_during_mass_cancellation_loses_none(self):
         for step in (0, 100, 199):
             for applied in (True, False):
-                found = run_async(self.wave_with_loss(step, applied))
+                found = run_async(self.cancel_all_with_leader_loss(step, applied))
                 self.assertEqual({"cancelled": 200}, dict(found), f"{step} {applied}")
 
-    async def wave_with_loss(self, step, applied):
+    async def cancel_all_with_leader_loss(self, step, applied):
         workers, machine = FakeWorkers(), CellMachine("z")
         workers.finish_at_once = False
         give_records(machine)
@@ -130,7 +130,7 @@
             for cancel in cancels:
                 asked = submission("gang", wait_ms=0, request_id=cancel.request_id)
                 await cell.submit(asked)
-            lose_at(cell.ctx.replica, step, applied)
+            lose_leadership_at(cell.ctx.replica, step, applied)
             calls = asyncio.gather(*map(cell.cancel, cancels))
             await until(lambda: not cell.ctx.replica.is_leader)
             calls.cancel()
--- a/packages/agateferry-service/agateferry_service/cell/tests/test_servicer.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/test_servicer.py
@@ -8,38 +8,38 @@
 
 
 class SlowCell:
-    """Take a call in and do something with it when the test lets it."""
+    """Receives a call and completes it when the test allows it."""
 
     def __init__(self):
-        self.may_go_on = asyncio.Event()
-        self.arrived = asyncio.Event()
+        self.may_complete = asyncio.Event()
+        self.received = asyncio.Event()
         self.done = asyncio.Event()
 
     async def submit(self, request):
-        self.arrived.set()
-        await self.may_go_on.wait()
+        self.received.set()
+        await self.may_complete.wait()
         self.done.set()
         return pb.RequestReply()
 
 
 class CellServicerTests(testtools.TestCase):
-    def test_a_submission_goes_on_when_its_caller_hangs_up(self):
+    def test_a_submission_completes_after_its_caller_disconnects(self):
         async def main():
             cell = SlowCell()
             call = asyncio.create_task(CellServicer(cell).Submit(pb.SubmitRequest(), None))
-            await cell.arrived.wait()
+            await cell.received.wait()
             call.cancel()
             await asyncio.gather(call, return_exceptions=True)
             self.assertTrue(call.cancelled())
-            cell.may_go_on.set()
+            cell.may_complete.set()
             await cell.done.wait()
 
         run_async(main(), 5)
 
-    def test_a_reply_is_passed_on(self):
+    def test_a_reply_is_returned_to_the_caller(self):
         async def main():
             cell = SlowCell()
-            cell.may_go_on.set()
+            cell.may_complete.set()
             reply = await CellServicer(cell).Submit(pb.SubmitRequest(), None)
             self.assertEqual(pb.RequestReply(), reply)
 
--- a/packages/agateferry-service/agateferry_service/cell/views.py
+++ b/packages/agateferry-service/agateferry_service/cell/views.py
@@ -1,4 +1,4 @@
-"""What operators see of a zone, as JSON documents."""
+"""Operators' views of a zone, as JSON documents."""
 
 import json
 from dataclasses import asdict
@@ -13,13 +13,13 @@
 
 
 class CellViews:
-    """Answer operators' questions from the leader's state."""
+    """Answers operators' queries from the leader's state."""
 
     def __init__(self, leader: CellLeader) -> None:
         self._leader = leader
 
     def answer(self, what: str, name: str) -> pb.QueryReply:
-        """Answer one question: workers, teams, queue or explain."""
+        """Answer one query: workers, teams, queue or explain."""
         match what:
             case "workers":
                 return _reply({"workers": self._workers()})
@@ -29,7 +29,7 @@
                 return _reply({"requests": self._queue()})
             case "explain":
                 return self._explain(name)
-        detail = f"no such question: {what}"
+        detail = f"unknown query: {what}"
         return pb.QueryReply(refusal=refusal(RefusalReason.INVALID, detail))
 
     def _workers(self) -> list[dict[str, Any]]:
--- a/packages/agateferry-service/agateferry_service/cell/waiters.py
+++ b/packages/agateferry-service/agateferry_service/cell/waiters.py
@@ -1,4 +1,4 @@
-"""Callers that wait for the end of a request."""
+"""Callers that wait until a request ends."""
 
 import asyncio
 from typing import Any
@@ -8,9 +8,9 @@
 
 
 class Waiters:
-    """Wake those who wait when the request they wait for has ended.
+    """Wakes callers when the request that they wait for has ended.
 
-    It listens to the cell's machine, so it tells nothing that has not been committed.
+    It listens to the state machine, so a caller never learns of an end that is not committed.
     """
 
     def __init__(self) -> None:
@@ -18,7 +18,7 @@
         self._counts: dict[str, int] = {}
 
     def on_applied(self, command: pb.Command, result: Any) -> None:
-        """Take in one applied command."""
+        """Wake the waiters of a request that an applied command has ended."""
         if not isinstance(result, CommandResult) or result.request is None:
             return
         event = self._events.get(result.request.id)
@@ -40,7 +40,7 @@
             self._remove_waiter(request.id)
 
     def wake_all(self) -> None:
-        """Let all who wait go on, because this host can no longer tell them the end."""
+        """Wake all waiters, because this host no longer leads and cannot learn the end."""
         for event in self._events.values():
             event.set()
 
--- a/packages/agateferry-service/agateferry_service/cell/worker_monitor.py
+++ b/packages/agateferry-service/agateferry_service/cell/worker_monitor.py
@@ -1,4 +1,4 @@
-"""Announcements of workers, and workers that have fallen silent."""
+"""Heartbeats of workers, and detection of lost workers."""
 
 from collections.abc import Callable
 
@@ -27,10 +27,10 @@
 
 
 class WorkerMonitor:
-    """Keep the leader's view of workers: who was heard of when, and who is lost.
+    """Tracks when each worker last sent a heartbeat, and declares silent workers lost.
 
-    The times of heartbeats are this leader's own; only changes of a worker go to the log. A new
-    leader counts every worker as heard of when it begins.
+    The times of heartbeats are kept by this leader only; just changes of a worker go to the log. A
+    new leader treats every worker as if it had sent a heartbeat when the leader started.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._last_heartbeat_ms: dict[str, int] = {}
 
     def start(self) -> None:
-        """Count every worker as heard of now, and tell the scheduler of all of them."""
+        """Treat every worker as alive now, and report all of them to the scheduler."""
         now_ms = self._ctx.clock.now_ms()
         self._last_heartbeat_ms.clear()
         for registered in self._ctx.machine.registry:
@@ -51,11 +51,11 @@
                 self._notify_scheduler(registered)
 
     def last_heartbeat_ms(self, worker: str) -> int | None:
-        """Return when a worker was last heard of, on the monotonic clock."""
+        """Return the time of a worker's last heartbeat, on the monotonic clock."""
         return self._last_heartbeat_ms.get(worker)
 
     async def announce(self, req: pb.AnnounceRequest) -> pb.AnnounceReply:
-        """Take an announcement in and tell the worker which leases to stop or to release."""
+        """Process a heartbeat and reply with the leases that the worker must stop or release."""
         self._last_heartbeat_ms[req.worker.name] = self._ctx.clock.now_ms()
         refused = await self._store_change(req)
         if refused is not None:
@@ -67,21 +67,21 @@
         return reply
 
     def heartbeat_ms(self) -> int:
-        """Return how often workers are asked to announce themselves.
+        """Return the interval at which workers are asked to send heartbeats.
 
-        The more workers there are, the less often, so that heartbeats cost the leader the same.
+        It grows with the number of workers, so that the leader's rate of heartbeats stays bounded.
         """
         times = self._ctx.times
         interval_ms = len(self._last_heartbeat_ms) * MS_PER_S // times.max_announcements_per_s
         return max(times.worker_heartbeat_ms, interval_ms)
 
     def silence_timeout_ms(self) -> int:
-        """Return after how long a worker counts as lost: as many heartbeats as are configured."""
+        """Return the silence after which a worker is lost, scaled with the heartbeat interval."""
         times = self._ctx.times
         return times.worker_silence_ms * self.heartbeat_ms() // times.worker_heartbeat_ms
 
     async def mark_silent_workers_lost(self) -> None:
-        """Give up workers that have not been heard of for too long."""
+        """Mark workers lost whose last heartbeat is too old."""
         now_ms = self._ctx.clock.now_ms()
         silence_timeout_ms = self.silence_timeout_ms()
         silent = [
@@ -99,12 +99,12 @@
             return
         self._ctx.log.warning(events.WORKER_LOST, worker=name)
         self._driver().feed(WorkerLost(name))
-        self._attempts.on_worker_lost(name, "no announcement came in time")
+        self._attempts.on_worker_lost(name, "no heartbeat arrived in time")
         command = worker_to_pb(registered.worker, WorkerState.LOST)
         await self._ctx.proposer.propose(worker=command)
 
     async def _store_change(self, req: pb.AnnounceRequest) -> pb.Refusal | None:
-        """Store what is new about a worker; heartbeats that bring nothing new are not stored."""
+        """Store a change of a worker; a heartbeat that changes nothing is not stored."""
         known = self._ctx.machine.registry.get(req.worker.name)
         announced = worker_from_pb(req.worker, self._ctx.machine.zone)
         state = WorkerState(req.worker.state)
@@ -116,7 +116,7 @@
         self._ctx.log.info(events.WORKER_CHANGED, worker=announced.name, state=state.value)
         if known is not None and known.worker.incarnation != announced.incarnation:
             self._driver().feed(WorkerLost(announced.name))
-            self._attempts.on_worker_lost(announced.name, "the worker started anew")
+            self._attempts.on_worker_lost(announced.name, "the worker restarted")
         self._notify_scheduler(RegisteredWorker(announced, state))
         return None
 
@@ -140,5 +140,5 @@
             reply.release.append(lease.lease)
         else:
             self._ctx.metrics.late_answer("stale-lease")
-            self._ctx.log.info(events.LATE_RESULT, lease=lease.lease, state=lease.state)
+            self._ctx.log.info(events.STALE_LEASE, lease=lease.lease, state=lease.state)
             reply.stop.append(lease.lease)
