--- a/packages/agateferry-service/agateferry_service/requests/__init__.py
+++ b/packages/agateferry-service/agateferry_service/requests/__init__.py
@@ -1,4 +1,4 @@
-"""The ledger of requests: what was accepted, how far each got and what was answered."""
+"""The ledger of requests: their state, progress and answers."""
 
 from agateferry_service.requests.ledger import Ledger
 from agateferry_service.requests.messages import CommandResult, CommandResultKind
--- a/packages/agateferry-service/agateferry_service/requests/codec.py
+++ b/packages/agateferry-service/agateferry_service/requests/codec.py
@@ -1,4 +1,4 @@
-"""Translate between the ledger's data classes and the messages of the log and the wire."""
+"""Conversion between the ledger's data classes and protobuf messages."""
 
 from agateferry_core.demand import Adjacency, Demand, Urgency
 from agateferry_service.requests.state import (
@@ -13,7 +13,7 @@
 
 
 def demand_to_pb(demand: Demand) -> pb.Demand:
-    """Write a demand as a message."""
+    """Convert a demand to a message."""
     return pb.Demand(
         members=demand.members,
         accelerators=demand.accelerators,
@@ -24,7 +24,7 @@
 
 
 def demand_from_pb(message: pb.Demand) -> Demand:
-    """Read a demand from a message."""
+    """Convert a message to a demand."""
     return Demand(
         members=message.members,
         accelerators=message.accelerators,
@@ -35,7 +35,7 @@
 
 
 def placement_to_pb(placement: Placement) -> pb.Placement:
-    """Write a placement as a message."""
+    """Convert a placement to a message."""
     return pb.Placement(
         member=placement.member,
         worker=placement.worker,
@@ -45,12 +45,12 @@
 
 
 def placement_from_pb(message: pb.Placement) -> Placement:
-    """Read a placement from a message."""
+    """Convert a message to a placement."""
     return Placement(message.member, message.worker, message.incarnation, message.accelerators)
 
 
 def spec_to_pb(spec: RequestSpec) -> pb.RequestSpec:
-    """Write what a caller asked for as a message."""
+    """Convert a request's specification to a message."""
     return pb.RequestSpec(
         id=spec.id,
         team=spec.team,
@@ -71,7 +71,7 @@
 
 
 def spec_from_pb(message: pb.RequestSpec) -> RequestSpec:
-    """Read what a caller asked for from a message."""
+    """Convert a message to a request's specification."""
     return RequestSpec(
         id=message.id,
         team=message.team,
@@ -92,7 +92,7 @@
 
 
 def view_to_pb(request: Request) -> pb.RequestView:
-    """Write a request as callers see it."""
+    """Convert a request to the view that callers get."""
     return pb.RequestView(
         id=request.spec.id,
         team=request.spec.team,
@@ -113,7 +113,7 @@
 
 
 def request_to_pb(request: Request) -> pb.StoredRequest:
-    """Write all that the ledger holds of a request."""
+    """Convert a request, with all its fields, to its stored form."""
     return pb.StoredRequest(
         spec=spec_to_pb(request.spec),
         view=view_to_pb(request),
@@ -124,7 +124,7 @@
 
 
 def request_from_pb(message: pb.StoredRequest) -> Request:
-    """Read all that the ledger holds of a request."""
+    """Convert a request's stored form to a request."""
     view = message.view
     return Request(
         spec=spec_from_pb(message.spec),
--- a/packages/agateferry-service/agateferry_service/requests/ledger.py
+++ b/packages/agateferry-service/agateferry_service/requests/ledger.py
@@ -1,11 +1,11 @@
 """The state machine of all requests of one availability zone.
 
-Every move of a request is a command of the cell's log, applied here in the same order on every
-host. Nothing is acted on or told to a caller before its command has been applied. The ledger reads
-no clock: the times in commands come from the leader that proposed them.
+Every change of a request is a command in the cell's log, applied in the same order on every host.
+A change is neither acted on nor reported to a caller before its command has been applied. The
+ledger does not read a clock: the times in commands come from the leader that proposed them.
 
-Requests that have ended are many and rarely asked for, so they are kept in the compact form that
-snapshots take. Those without an end have their compact form remembered until they change, so that
+Requests that have ended are many and rarely read, so they are kept in the serialized form that
+snapshots use. The serialized form of an open request is cached until the request changes, so that
 a snapshot costs little more than what changed since the last one.
 """
 
@@ -33,7 +33,7 @@
 
 
 class Ledger:
-    """Hold every request that has not been forgotten, by id and by idempotency key."""
+    """Holds all requests that have not been dropped, by id and by idempotency key."""
 
     def __init__(self) -> None:
         self._open: dict[str, Request] = {}
@@ -42,13 +42,13 @@
         self._serialized: dict[str, bytes] = {}
 
     def __len__(self) -> int:
-        """Return how many requests are remembered."""
+        """Return the number of requests held."""
         return len(self._open) + len(self._ended)
 
     def get(self, request_id: str) -> Request | None:
-        """Return a request, or None when it is unknown or forgotten.
+        """Return a request, or None if it is unknown or has been dropped.
 
-        One that has ended is read from its compact form; changing what is returned has no effect.
+        A request that has ended is a copy, deserialized for this call; changes to it are lost.
         """
         known = self._open.get(request_id)
         if known is not None:
@@ -57,16 +57,16 @@
         return _deserialize(serialized) if serialized is not None else None
 
     def by_key(self, team: str, key: str) -> Request | None:
-        """Return the request that a team's idempotency key belongs to."""
+        """Return the request that a team submitted with an idempotency key."""
         request_id = self._by_key.get((team, key))
         return self.get(request_id) if request_id else None
 
     def open_requests(self) -> Iterator[Request]:
-        """Yield every request without a final answer, in the order of acceptance."""
+        """Yield every request that has not ended, in order of acceptance."""
         return iter(self._open.values())
 
     def is_active_lease(self, lease: str) -> bool:
-        """Tell whether a lease belongs to an attempt whose result is still waited for."""
+        """Tell whether a lease belongs to the current attempt of an open request."""
         parsed = parse_lease(lease)
         if parsed is None:
             return False
@@ -74,7 +74,7 @@
         return request is not None and request.has_active_attempt and request.attempt == parsed[1]
 
     def accept(self, command: pb.Accept) -> CommandResult:
-        """Store a new request, or find the one that this is a resend of."""
+        """Store a new request, or return the existing one if this is a resend."""
         spec = spec_from_pb(command.spec)
         known = self.get(spec.id)
         if known is None and spec.key:
@@ -90,7 +90,7 @@
         return self._mark_changed(request)
 
     def place(self, command: pb.Place) -> CommandResult:
-        """Store the intent to start an attempt; only a waiting request can be placed."""
+        """Store the placements of a new attempt; only a waiting request can be placed."""
         request = self.get(command.request_id)
         if request is None:
             return CommandResult(CommandResultKind.UNKNOWN_REQUEST)
@@ -101,7 +101,7 @@
         return self._mark_changed(request)
 
     def progress(self, command: pb.Progress) -> CommandResult:
-        """Store that an attempt has started, how far it is and its last checkpoint."""
+        """Store that an attempt runs, with its progress and last checkpoint."""
         found = self._current_attempt(command.request_id, command.attempt)
         if found.kind is not CommandResultKind.DONE or found.request is None:
             return found
@@ -112,7 +112,7 @@
         return found
 
     def finish(self, command: pb.Finish) -> CommandResult:
-        """Store the whole answer; it wins over a cancellation that is still under way."""
+        """Store the answers; they take precedence over a cancellation in progress."""
         found = self._current_attempt(command.request_id, command.attempt)
         if found.kind is not CommandResultKind.DONE or found.request is None:
             return found
@@ -124,7 +124,7 @@
         return found
 
     def cancel(self, command: pb.RequestCancel) -> CommandResult:
-        """Cancel at once what waits; mark what runs, to be cancelled when it has stopped."""
+        """Cancel a waiting request at once; mark one with an attempt to be cancelled at its end."""
         request = self.get(command.request_id)
         if request is None:
             return CommandResult(CommandResultKind.UNKNOWN_REQUEST)
@@ -137,9 +137,9 @@
         return self._mark_changed(request)
 
     def attempt_failed(self, command: pb.AttemptFailed) -> CommandResult:
-        """End an attempt without an answer.
+        """End an attempt that has no answer.
 
-        The request is cancelled if that was asked for, has failed for good, or waits again.
+        The request is cancelled if a cancellation is pending; otherwise it fails or waits again.
         """
         found = self._current_attempt(command.request_id, command.attempt)
         if found.kind is not CommandResultKind.DONE or found.request is None:
@@ -160,7 +160,7 @@
         return found
 
     def give_up(self, command: pb.GiveUp) -> CommandResult:
-        """End a waiting request that will not be placed."""
+        """Fail a waiting request that will not be placed."""
         request = self.get(command.request_id)
         if request is None:
             return CommandResult(CommandResultKind.UNKNOWN_REQUEST)
@@ -180,19 +180,19 @@
         return CommandResult(CommandResultKind.DONE)
 
     def oldest_end_wall_ms(self) -> int | None:
-        """Return when the request that ended first did so."""
+        """Return the end time of the request that ended first."""
         oldest = next(iter(self._ended.values()), None)
         return _deserialize(oldest).ended_wall_ms if oldest is not None else None
 
     def store(self) -> list[bytes]:
-        """Write all requests, those that ended first and in the order in which they did."""
+        """Return all requests serialized: first the ended ones, in the order of their ends."""
         for request in self._open.values():
             if request.id not in self._serialized:
                 self._serialized[request.id] = _serialize(request)
         return [*self._ended.values(), *(self._serialized[request_id] for request_id in self._open)]
 
     def load(self, stored: Iterable[bytes]) -> None:
-        """Replace all requests by stored ones."""
+        """Replace all requests with those of a snapshot."""
         self.__init__()  # type: ignore[misc]
         for serialized in stored:
             request = _deserialize(serialized)
@@ -265,7 +265,7 @@
 
 
 def _combine_run_certainty(before: RunCertainty, now: RunCertainty) -> RunCertainty:
-    """Return what is known over two attempts: a certain run outweighs a possible one."""
+    """Combine two attempts: a certain run takes precedence over a possible one."""
     if RunCertainty.RAN in (before, now):
         return RunCertainty.RAN
     if RunCertainty.MAY_HAVE_RUN in (before, now):
--- a/packages/agateferry-service/agateferry_service/requests/messages.py
+++ b/packages/agateferry-service/agateferry_service/requests/messages.py
@@ -1,4 +1,4 @@
-"""What the ledger answers to a command."""
+"""The results that the ledger returns for commands."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class CommandResultKind(StrEnum):
-    """Say what a command did to the ledger."""
+    """What a command did to the ledger."""
 
     DONE = "done"
     DUPLICATE = "duplicate"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """The effect of one command and the request as it stands after it, where there is one."""
+    """The effect of a command, and the request after it if there is one."""
 
     kind: CommandResultKind
     request: Request | None = None
--- a/packages/agateferry-service/agateferry_service/requests/state.py
+++ b/packages/agateferry-service/agateferry_service/requests/state.py
@@ -1,4 +1,4 @@
-"""What the ledger holds of one request."""
+"""The state of one request in the ledger."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class RequestState(StrEnum):
-    """Say where in its life a request is."""
+    """The state of a request."""
 
     ACCEPTED = "accepted"
     PLACED = "placed"
@@ -24,7 +24,7 @@
 
 
 class Stage(StrEnum):
-    """Say how far a cancelled or failed request had got."""
+    """The last stage that a cancelled or failed request reached."""
 
     ACCEPTED = "accepted"
     PLACED = "placed"
@@ -33,7 +33,7 @@
 
 
 class RunCertainty(StrEnum):
-    """Say what is known about whether any part of a request ran."""
+    """Whether any part of a request ran, as far as is known."""
 
     NOT_RUN = "not-run"
     RAN = "ran"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The place of one member in one attempt, with the worker's incarnation at that time."""
+    """Where a member of an attempt runs, with the worker's incarnation when it was placed."""
 
     member: int
     worker: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """What a caller asked for, completed by the job record that was in force."""
+    """A caller's request, completed from the job record in force at its submission."""
 
     id: str
     team: str
@@ -73,10 +73,10 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request and how far it got.
+    """A request and its progress.
 
-    `attempt` counts the attempts whose intent was stored. `failures` counts those that ended in a
-    failure laid to the request. `run` is what is known over all attempts.
+    `attempt` counts the attempts that were placed. `failures` counts the failed attempts that count
+    against the request's `max_attempts`. `run` combines all attempts.
     """
 
     spec: RequestSpec
@@ -101,16 +101,16 @@
 
     @property
     def ended(self) -> bool:
-        """Tell whether the request has its final answer."""
+        """Tell whether the request is in a terminal state."""
         return self.state in TERMINAL_STATES
 
     @property
     def has_active_attempt(self) -> bool:
-        """Tell whether an attempt is under way."""
+        """Tell whether an attempt is placed or running."""
         return self.state in ACTIVE_STATES
 
     def reached_stage(self) -> Stage:
-        """Return the furthest stage that is known to have been reached."""
+        """Return the last stage that the request is known to have reached."""
         if self.checkpoint_step != NO_CHECKPOINT:
             return Stage.CHECKPOINTED
         if self.run is not RunCertainty.NOT_RUN:
@@ -121,12 +121,12 @@
 
 
 def lease_name(request_id: str, attempt: int, member: int) -> str:
-    """Name the lease of one member in one attempt, such as `vestland-1.4f1c.1.0`."""
+    """Return the lease name of a member of an attempt, such as `vestland-1.4f1c.1.0`."""
     return f"{request_id}.{attempt}.{member}"
 
 
 def parse_lease(lease: str) -> tuple[str, int, int] | None:
-    """Return the request id, attempt and member of a lease's name, or None for a foreign name."""
+    """Return the request id, attempt and member of a lease name, or None if it is malformed."""
     parts = lease.rsplit(".", 2)
     if len(parts) != 3 or not (parts[1].isdigit() and parts[2].isdigit()):
         return None
--- a/packages/agateferry-service/agateferry_service/requests/tests/test_ledger.py
+++ b/packages/agateferry-service/agateferry_service/requests/tests/test_ledger.py
@@ -52,7 +52,7 @@
 
 
 class KeyTests(testtools.TestCase):
-    def test_a_resend_finds_the_first_request(self):
+    def test_a_resend_returns_the_first_request(self):
         ledger = Ledger()
         accept(ledger, key="k")
         result = accept(ledger, key="k", request_id="z.2")
@@ -64,7 +64,7 @@
         result = accept(ledger, key="k", request_id="z.2", digest=b"other")
         self.assertEqual((CommandResultKind.KEY_REUSED, 1), (result.kind, len(ledger)))
 
-    def test_keys_survive_a_snapshot_and_go_with_their_request(self):
+    def test_keys_survive_a_snapshot_and_are_dropped_with_their_request(self):
         ledger = Ledger()
         accept(ledger, key="k")
         ledger.cancel(pb.RequestCancel(request_id="z.1", wall_ms=5))
@@ -85,7 +85,7 @@
             (request.state, request.stage, request.run),
         )
 
-    def test_a_finish_before_the_stop_wins_and_the_stop_changes_nothing(self):
+    def test_a_finish_before_the_stop_takes_precedence(self):
         ledger = Ledger()
         accept(ledger, placed=True)
         ledger.cancel(pb.RequestCancel(request_id="z.1"))
@@ -96,7 +96,7 @@
             (RequestState.FINISHED, ("a",)), (late.request.state, late.request.answers)
         )
 
-    def test_tells_the_checkpoint_that_was_reached(self):
+    def test_a_cancelled_request_keeps_its_last_checkpoint(self):
         ledger = Ledger()
         accept(ledger, placed=True)
         ledger.cancel(pb.RequestCancel(request_id="z.1"))
@@ -108,7 +108,7 @@
             (Stage.CHECKPOINTED, 4, 0.5), (request.stage, request.checkpoint_step, request.progress)
         )
 
-    def test_cancelling_twice_gives_the_same_end(self):
+    def test_a_second_cancellation_changes_nothing(self):
         ledger = Ledger()
         accept(ledger)
         first = ledger.cancel(pb.RequestCancel(request_id="z.1", wall_ms=1)).request
@@ -117,7 +117,7 @@
 
 
 class AttemptTests(testtools.TestCase):
-    def test_work_that_is_not_idempotent_is_never_tried_again_once_it_may_have_run(self):
+    def test_a_request_that_is_not_idempotent_fails_if_it_may_have_run(self):
         ledger = Ledger()
         accept(ledger, placed=True, idempotent=False)
         request = fail(ledger, RunCertainty.MAY_HAVE_RUN).request
@@ -127,7 +127,7 @@
         again = ledger.place(pb.Place(request_id="z.1", attempt=2))
         self.assertEqual(CommandResultKind.STALE, again.kind)
 
-    def test_work_that_is_not_idempotent_waits_again_when_it_was_certainly_not_run(self):
+    def test_a_request_that_is_not_idempotent_waits_again_if_it_did_not_run(self):
         ledger = Ledger()
         accept(ledger, placed=True, idempotent=False)
         self.assertEqual(RequestState.ACCEPTED, fail(ledger, RunCertainty.NOT_RUN).request.state)
@@ -141,7 +141,7 @@
             RequestState.FAILED, fail(ledger, RunCertainty.RAN, attempt=2).request.state
         )
 
-    def test_a_late_answer_of_an_older_attempt_is_dropped(self):
+    def test_a_late_answer_of_an_older_attempt_is_ignored(self):
         ledger = Ledger()
         accept(ledger, placed=True)
         fail(ledger, RunCertainty.RAN)
@@ -149,7 +149,7 @@
         late = ledger.finish(pb.Finish(request_id="z.1", attempt=1, answers=["old"]))
         self.assertEqual((CommandResultKind.STALE, ()), (late.kind, late.request.answers))
 
-    def test_a_doubled_answer_changes_nothing(self):
+    def test_a_duplicate_answer_is_ignored(self):
         ledger = Ledger()
         accept(ledger, placed=True)
         for answer in ("first", "second"):
@@ -157,7 +157,7 @@
         request = ledger.get("z.1")
         self.assertEqual((RequestState.FINISHED, ("first",)), (request.state, request.answers))
 
-    def test_an_answer_after_the_end_changes_nothing(self):
+    def test_an_answer_after_the_end_is_ignored(self):
         ledger = Ledger()
         accept(ledger, placed=True, idempotent=False)
         fail(ledger, RunCertainty.MAY_HAVE_RUN)
@@ -165,7 +165,7 @@
         request = ledger.get("z.1")
         self.assertEqual((RequestState.FAILED, ()), (request.state, request.answers))
 
-    def test_a_lease_is_wanted_only_by_its_own_attempt(self):
+    def test_a_lease_is_active_only_in_its_own_attempt(self):
         ledger = Ledger()
         accept(ledger, placed=True)
         self.assertEqual(
