--- a/packages/agateferry-service/agateferry_service/dispatch/__init__.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Running attempts on workers under leases."""
+"""Execution of attempts on workers, under leases."""
--- a/packages/agateferry-service/agateferry_service/dispatch/attempt.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/attempt.py
@@ -1,8 +1,8 @@
-"""One attempt of a request: reserve on all workers, start on all, and see it to its end.
+"""One attempt of a request: reserves on all workers, starts all members and follows them.
 
-The intent is in the cell's log before an attempt begins, so the leader that comes next can take
-the same attempt up again: every call names the same lease, and a worker does nothing twice for
-one lease. An attempt decides nothing for good; its result is proposed to the log by the caller.
+An attempt's placements are in the cell's log before it starts, so the next leader can resume it:
+calls are idempotent per lease, and every leader uses the same lease names. An attempt stores
+nothing itself; its caller proposes the result to the log.
 """
 
 import asyncio
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimes:
-    """The bounds of an attempt's calls, in milliseconds.
+    """The time limits of an attempt's calls.
 
-    `hold_ms` is how long a start waits for a quick end on its connection; `resolve_ms` bounds the
-    search for what became of a start whose answer was lost; `look_ms` is how often a running lease
-    is looked at when no announcement speaks of it; `reserve_ms` is the life of a reservation.
+    `start_wait_ms` is how long a start call waits for a short task to end; `resolve_timeout_ms`
+    bounds the search for the state of a lease after a lost reply; `poll_interval_ms` is how often a
+    lease is polled that no heartbeat reports; `reservation_ttl_ms` is a reservation's lifetime.
     """
 
     start_wait_ms: int = 1_500
@@ -48,9 +48,9 @@
 
 @dataclass(slots=True)
 class Member:
-    """One member of an attempt: its order, its worker and what is known of its lease.
+    """One member of an attempt: its order, its worker and the last known state of its lease.
 
-    `sent` tells whether a start may have reached the worker, now or under an earlier leader.
+    `sent` tells whether a start call may have reached the worker, also from an earlier leader.
     """
 
     order: StartOrder
@@ -65,38 +65,38 @@
 
     @property
     def finished(self) -> bool:
-        """Tell whether the member has its whole answer."""
+        """Tell whether the member has its answer."""
         return self.view is not None and self.view.state is LeaseState.FINISHED
 
     @property
     def failed(self) -> bool:
-        """Tell whether the member will never have an answer."""
+        """Tell whether the member cannot get an answer any more."""
         ended_without_answer = self.view is not None and self.view.final and not self.finished
         return ended_without_answer or self.error is not None
 
     @property
     def done(self) -> bool:
-        """Tell whether nothing more is to be learned of the member."""
+        """Tell whether the member has finished or failed."""
         return self.finished or self.failed
 
     def update(self, view: LeaseView) -> None:
-        """Take in what the worker says of the lease."""
+        """Store the state of the lease from a worker's reply."""
         self.view = view
         if view.state in STATES_PROVING_RUN or view.progress > 0:
             self.has_run = True
 
     @property
     def run(self) -> RunCertainty:
-        """Return what is known about whether this member ran."""
+        """Return whether this member ran, as far as is known."""
         if self.has_run:
             return RunCertainty.RAN
         return RunCertainty.MAY_HAVE_RUN if self.sent else RunCertainty.NOT_RUN
 
 
 class Attempt:
-    """Run one attempt.
+    """Runs one attempt.
 
-    `may_act` is asked before each call that changes something; it tells whether this host leads.
+    `is_leader` is checked before each call that changes state on a worker.
     """
 
     def __init__(
@@ -127,7 +127,7 @@
         self._member_tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> AttemptResult:
-        """Reserve, start, and return once the attempt has ended as a whole."""
+        """Reserve and start all members, and return the result once the attempt has ended."""
         try:
             if len(self.members) > 1 and not await self._reserve_all():
                 return await self._cancel_reservations()
@@ -140,13 +140,13 @@
             await self._cancel_member_tasks()
 
     def stop(self, outcome: AttemptOutcome) -> None:
-        """Ask for a stop, because of a cancellation or a preemption; a cancellation outweighs."""
+        """Request a stop for a cancellation or a preemption; a cancellation takes precedence."""
         if self._stop_outcome is not AttemptOutcome.CANCELLED:
             self._stop_outcome = outcome
         self._wake.set()
 
     def on_lease_report(self, lease: str, final: bool) -> None:
-        """Take in what a worker announced of a lease; one that has ended is looked at now."""
+        """Process a worker's report on a lease; a lease that has ended is polled at once."""
         for member in self.members:
             if member.order.lease == lease:
                 member.last_report_ms = self._clock.now_ms()
@@ -154,7 +154,7 @@
                     member.end_reported.set()
 
     def on_worker_lost(self, worker: str, detail: str) -> None:
-        """Take in that a worker is gone or has started anew without this attempt's leases."""
+        """Fail the members on a worker that is lost or has restarted without their leases."""
         for member in self.members:
             if member.worker == worker and not member.finished and member.error is None:
                 kind = WorkerErrorKind.SILENT
@@ -179,10 +179,10 @@
         return False
 
     def _check_leadership(self) -> bool:
-        """Tell whether this host leads; once it does not, the attempt is left as it is.
+        """Tell whether this host leads; if not, abandon the attempt without touching its leases.
 
-        A deposed leader must neither start nor stop anything, and must not say how an attempt
-        ended that it did not see to its end: a gang would be left running in part.
+        A deposed leader must not start or stop anything, and must not report an outcome for an
+        attempt that has not ended: part of a gang would be left running.
         """
         if not self._is_leader():
             self._abandoned = True
@@ -195,7 +195,7 @@
         return self._summarize(outcome, "gang-not-reserved")
 
     async def _run_member(self, member: Member) -> None:
-        """Start a member and follow its lease until it is final or lost."""
+        """Start a member and follow its lease until the member has finished or failed."""
         self._apply_reply(member, await self._start_member(member))
         while not member.done:
             if await self._is_poll_due(member):
@@ -216,7 +216,7 @@
             self._on_running()
 
     async def _is_poll_due(self, member: Member) -> bool:
-        """Wait for a hint of the lease's end; without one, tell whether its worker is overdue."""
+        """Wait for a report that the lease ended, or one interval; tell whether to poll it now."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._times.poll_interval_ms / 1000):
                 await member.end_reported.wait()
@@ -228,7 +228,7 @@
         )
 
     async def _start_member(self, member: Member) -> Result[LeaseView, WorkerError]:
-        """Start a member; when the answer is lost, find out over fresh connections."""
+        """Start a member; if the reply is lost, poll the lease over fresh connections."""
         give_up_at_ms = self._clock.now_ms() + self._times.resolve_timeout_ms
         if member.sent:
             reply = await self._get_lease(member)
@@ -252,7 +252,7 @@
             await self._back_off(retries)
 
     async def _get_lease(self, member: Member) -> Result[LeaseView, WorkerError]:
-        """Ask for a lease until an answer comes or the bound has passed."""
+        """Poll a lease until a usable reply comes or the time limit has passed."""
         give_up_at_ms = self._clock.now_ms() + self._times.resolve_timeout_ms
         retries = 0
         while True:
@@ -335,7 +335,7 @@
         self._member_tasks = []
 
     def _summarize(self, outcome: AttemptOutcome, reason: str) -> AttemptResult:
-        """Sum the members up: a gang is as far as the member that is furthest behind."""
+        """Combine the members into a result; the slowest member sets the progress of a gang."""
         if self._abandoned:
             return AttemptResult(AttemptOutcome.ABANDONED)
         failed = [member for member in self.members if member.failed and not _was_stopped(member)]
@@ -367,7 +367,7 @@
 
 
 def _is_not_started(reply: Result[LeaseView, WorkerError]) -> bool:
-    """Tell whether a worker says that no start of the lease has arrived."""
+    """Tell whether the worker reports that it has not received a start of the lease."""
     if reply.is_ok():
         return reply.ok.state is LeaseState.RESERVED
     return reply.error.kind is WorkerErrorKind.UNKNOWN_LEASE
--- a/packages/agateferry-service/agateferry_service/dispatch/budget.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/budget.py
@@ -1,7 +1,7 @@
-"""A bound on how much work retries may add.
+"""A budget that bounds the additional load of retries.
 
-After "Handling Overload" in the Site Reliability Engineering book (Beyer and others, 2016): when
-much fails at once, retries must not grow with the failures.
+As in "Handling Overload" in the Site Reliability Engineering book (Beyer and others, 2016): when
+many requests fail at once, retries must not grow with the failures.
 """
 
 RESERVED_RETRIES = 10
@@ -10,9 +10,9 @@
 
 
 class RetryBudget:
-    """Allow retries in proportion to first attempts, with a small reserve.
+    """Allows retries in proportion to first attempts, plus a small reserve.
 
-    For example with 20 percent, a hundred first attempts pay for twenty retries.
+    For example, with 20 percent a hundred first attempts allow twenty retries.
     """
 
     def __init__(self, percent: int) -> None:
@@ -20,11 +20,11 @@
         self._credit = RESERVED_RETRIES * RETRY_COST
 
     def record_first_attempt(self) -> None:
-        """Count a first attempt."""
+        """Add the credit of one first attempt."""
         self._credit = min(MAX_SAVED_RETRIES * RETRY_COST, self._credit + self._percent)
 
     def try_spend(self) -> bool:
-        """Pay for one retry; False when the budget is used up."""
+        """Spend one retry; return False if the budget is exhausted."""
         if self._credit < RETRY_COST:
             return False
         self._credit -= RETRY_COST
--- a/packages/agateferry-service/agateferry_service/dispatch/client.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/client.py
@@ -1,4 +1,4 @@
-"""The calls to workers, over HTTP."""
+"""The HTTP client for calls to workers."""
 
 import hashlib
 import json
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """All that a worker needs to reserve for one member and to run it."""
+    """What a worker needs to reserve resources for one member and to run it."""
 
     lease: str
     request_id: str
@@ -48,29 +48,29 @@
 
 
 class WorkerCalls(Protocol):
-    """The calls that an attempt makes; a test answers them from memory."""
+    """The calls that an attempt makes; tests replace them with a fake."""
 
     async def reserve(
         self, address: str, order: StartOrder, ttl_ms: int
     ) -> Result[LeaseView, WorkerError]:
-        """Hold capacity for one member of a gang."""
+        """Reserve resources for one member of a gang."""
 
     async def start(
         self, address: str, order: StartOrder, wait_ms: int
     ) -> Result[LeaseView, WorkerError]:
-        """Start a member; repeating it for the same lease starts nothing anew."""
+        """Start a member; a repeated call for the same lease does not start it again."""
 
     async def get_lease(self, address: str, lease: str) -> Result[LeaseView, WorkerError]:
-        """Ask what became of a lease, over a connection opened for this call alone."""
+        """Return the state of a lease, over a connection opened for this call only."""
 
     async def control(
         self, address: str, lease: str, action: str, reason: str = ""
     ) -> Result[LeaseView, WorkerError]:
-        """Stop, checkpoint or throttle a lease; `verb` names which."""
+        """Stop, checkpoint or throttle a lease, as `action` says."""
 
 
 class LeaseBody(BaseModel):
-    """The JSON of a lease as workers send it."""
+    """The JSON body of a lease in a worker's reply."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -85,7 +85,10 @@
 
 
 class WorkerClient:
-    """Call workers over pooled connections, and over fresh ones where a pooled one fell silent."""
+    """Calls workers over pooled connections, and polls leases over fresh ones.
+
+    A poll may follow a call that got no reply, so it must not depend on the same connection.
+    """
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -103,14 +106,14 @@
     async def reserve(
         self, address: str, order: StartOrder, ttl_ms: int
     ) -> Result[LeaseView, WorkerError]:
-        """Hold capacity for one member of a gang for `ttl_ms` milliseconds."""
+        """Reserve resources for one member of a gang for `ttl_ms` milliseconds."""
         body = {**_reservation_body(order), "ttl_ms": ttl_ms}
         return await self._post(address, order.lease, "reserve", body)
 
     async def start(
         self, address: str, order: StartOrder, wait_ms: int
     ) -> Result[LeaseView, WorkerError]:
-        """Start a member and wait up to `wait_ms` for its end."""
+        """Start a member and wait up to `wait_ms` milliseconds for its end."""
         step = order.checkpoint_step
         body = {
             **_reservation_body(order),
@@ -123,7 +126,7 @@
         return await self._post(address, order.lease, "start", body, wait_ms)
 
     async def get_lease(self, address: str, lease: str) -> Result[LeaseView, WorkerError]:
-        """Ask what became of a lease, over a connection opened for this call alone."""
+        """Return the state of a lease, over a connection opened for this call only."""
         return await self._call(self._fresh, "GET", address, lease, "", None, 0)
 
     async def control(
@@ -180,11 +183,11 @@
         except aiohttp.ClientPayloadError as exc:
             return Error(WorkerError(WorkerErrorKind.GARBLED, detail=str(exc)))
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
-            return Error(WorkerError(WorkerErrorKind.SILENT, detail=str(exc) or "no answer"))
+            return Error(WorkerError(WorkerErrorKind.SILENT, detail=str(exc) or "no reply"))
 
 
 def parse_reply(lease: str, status: int, data: bytes) -> Result[LeaseView, WorkerError]:
-    """Check one reply: it must be whole, and about the lease that was asked for."""
+    """Parse a reply and check that it is complete and about the requested lease."""
     if status in PROBLEM_STATUSES:
         return Error(_parse_problem(status, data))
     if status not in (200, 202):
@@ -195,7 +198,7 @@
     except ValidationError as exc:
         return Error(WorkerError(WorkerErrorKind.GARBLED, detail=str(exc.errors()[0]["msg"])))
     if body.lease != lease:
-        detail = f"the answer is about lease {body.lease}"
+        detail = f"the reply is about lease {body.lease}"
         return Error(WorkerError(WorkerErrorKind.GARBLED, detail=detail))
     if body.state is LeaseState.FINISHED and not is_intact(body):
         return Error(WorkerError(WorkerErrorKind.GARBLED, detail="length or digest do not match"))
@@ -206,17 +209,17 @@
 
 
 async def read_limited(resp: aiohttp.ClientResponse) -> bytes:
-    """Read a body of at most MAX_ANSWER_BYTES bytes."""
+    """Read a body of at most MAX_ANSWER_BYTES bytes, or raise ClientPayloadError."""
     data = bytearray()
     async for chunk in resp.content.iter_any():
         data += chunk
         if len(data) > MAX_ANSWER_BYTES:
-            raise aiohttp.ClientPayloadError(f"more than {MAX_ANSWER_BYTES} bytes")
+            raise aiohttp.ClientPayloadError(f"the body has more than {MAX_ANSWER_BYTES} bytes")
     return bytes(data)
 
 
 def is_intact(body: LeaseBody) -> bool:
-    """Tell whether an answer has the length and the digest that came with it."""
+    """Tell whether the answer matches the length and the digest in its reply."""
     if body.answer is None:
         return False
     data = body.answer.encode()
--- a/packages/agateferry-service/agateferry_service/dispatch/messages.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/messages.py
@@ -1,4 +1,4 @@
-"""What a worker says of a lease, why it did not answer, and how an attempt ended."""
+"""The state of a lease, errors of calls to workers, and the outcome of an attempt."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class LeaseState(StrEnum):
-    """Say where a lease is, as its worker sees it."""
+    """The state of a lease on its worker."""
 
     RESERVED = "reserved"
     RUNNING = "running"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseView:
-    """A lease as its worker described it, already checked for being the one asked about."""
+    """The state of a lease in a worker's reply, checked to be about the requested lease."""
 
     lease: str
     state: LeaseState
@@ -32,32 +32,32 @@
 
     @property
     def final(self) -> bool:
-        """Tell whether the lease will not change any more."""
+        """Tell whether the lease is in a final state."""
         return self.state in FINAL_LEASE_STATES
 
 
 class WorkerErrorKind(StrEnum):
-    """Say what a missing answer tells; also the label of the counter of retries."""
+    """Why a call has no usable reply; the value also becomes a retry reason in metrics."""
 
     REFUSED = "refused"
-    """The worker answered that it did not do it."""
+    """The worker replied that it refused the call."""
 
     UNKNOWN_LEASE = "unknown-lease"
-    """The worker has not seen this lease in its present incarnation."""
+    """The worker's current incarnation does not know the lease."""
 
     UNREACHED = "unreached"
-    """No connection came about, so the worker did not hear of it."""
+    """No connection was established, so the worker did not receive the call."""
 
     SILENT = "silent"
-    """The call went out and no answer came; the worker may have acted."""
+    """The call was sent and no reply came; the worker may have executed it."""
 
     GARBLED = "garbled"
-    """An answer came that was cut short or belongs to another lease."""
+    """The reply was truncated, malformed or about another lease."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerError:
-    """Why a call to a worker has no usable answer."""
+    """Why a call to a worker has no usable reply."""
 
     kind: WorkerErrorKind
     reason: str = ""
@@ -65,22 +65,22 @@
 
 
 class AttemptOutcome(StrEnum):
-    """Say how an attempt ended."""
+    """How an attempt ended."""
 
     FINISHED = "finished"
     FAILED = "failed"
     CANCELLED = "cancelled"
     PREEMPTED = "preempted"
     ABANDONED = "abandoned"
-    """This host no longer leads; the next leader takes the attempt up again."""
+    """This host no longer leads; the next leader resumes the attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended and how far it got.
+    """The outcome and progress of an attempt.
 
-    `counts` tells whether the failure is laid to the request; `failed_workers` names the workers
-    whose member failed or could not be reached.
+    `counts_as_failure` tells whether it counts against the request's `max_attempts`;
+    `failed_workers` names the workers whose member failed or could not be reached.
     """
 
     outcome: AttemptOutcome
--- a/packages/agateferry-service/agateferry_service/dispatch/tests/test_attempt.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/tests/test_attempt.py
@@ -21,7 +21,7 @@
 
 
 class FakeWorkers:
-    """Answer calls from scripts; a script is a list of replies whose last one is repeated."""
+    """Replies from scripts; a script is a list of replies of which the last is repeated."""
 
     def __init__(self, **scripts):
         self.scripts = scripts
@@ -67,18 +67,18 @@
 
 
 class SingleTests(testtools.TestCase):
-    def test_returns_the_answer_of_a_quick_task(self):
+    def test_returns_the_answer_of_a_short_task(self):
         result = run_async(attempt(FakeWorkers()).run())
         self.assertEqual((AttemptOutcome.FINISHED, ("m0",)), (result.outcome, result.answers))
 
-    def test_a_refused_start_was_not_run(self):
+    def test_a_refused_start_did_not_run(self):
         result = run_async(attempt(FakeWorkers(m0_start=[WorkerErrorKind.REFUSED])).run())
         self.assertEqual(
             (RunCertainty.NOT_RUN, False, "no-capacity"),
             (result.run, result.counts_as_failure, result.reason),
         )
 
-    def test_a_lease_that_its_worker_speaks_of_is_not_looked_at(self):
+    def test_a_lease_in_heartbeats_is_not_polled_before_its_end(self):
         fake = FakeWorkers(m0_start=[LeaseState.RUNNING], m0_get=[LeaseState.FINISHED])
 
         async def main():
@@ -99,18 +99,18 @@
         tried = Attempt(members(1), fake, SystemClock(), lambda: True, random.Random(1), times)
         self.assertEqual(AttemptOutcome.FAILED, run_async(tried.run(), 5).outcome)
 
-    def test_a_worker_that_was_not_reached_did_not_run_it(self):
+    def test_a_start_that_did_not_reach_its_worker_did_not_run(self):
         fake = FakeWorkers(m0_start=[WorkerErrorKind.UNREACHED])
         result = run_async(attempt(fake).run())
         self.assertEqual((RunCertainty.NOT_RUN, ("w0",)), (result.run, result.failed_workers))
 
-    def test_a_lost_answer_is_looked_up_and_not_started_again(self):
+    def test_a_lost_reply_is_resolved_by_a_poll_without_a_second_start(self):
         fake = FakeWorkers(m0_start=[WorkerErrorKind.SILENT], m0_get=[LeaseState.FINISHED])
         result = run_async(attempt(fake).run())
         self.assertEqual(AttemptOutcome.FINISHED, result.outcome)
         self.assertEqual(1, fake.calls.count(("m0", "start")))
 
-    def test_what_cannot_be_learned_may_have_run(self):
+    def test_a_start_that_stays_unresolved_may_have_run(self):
         fake = FakeWorkers(m0_start=[WorkerErrorKind.SILENT], m0_get=[WorkerErrorKind.SILENT])
         result = run_async(attempt(fake).run())
         self.assertEqual(
@@ -129,14 +129,14 @@
         run_async(attempt(fake, is_leader=lambda: False).run())
         self.assertNotIn(("m0", "start"), fake.calls)
 
-    def test_a_cancellation_stops_what_runs_and_tells_how_far_it_got(self):
+    def test_a_cancellation_stops_the_attempt(self):
         fake = FakeWorkers(m0_start=[LeaseState.RUNNING])
         tried = attempt(fake)
         tried.stop(AttemptOutcome.CANCELLED)
         result = run_async(tried.run())
         self.assertEqual(AttemptOutcome.CANCELLED, result.outcome)
 
-    def test_a_finish_that_a_stop_finds_is_a_finish(self):
+    def test_a_finish_before_the_stop_takes_precedence(self):
         fake = FakeWorkers(m0_start=[LeaseState.RUNNING], m0_stop=[LeaseState.FINISHED])
 
         async def main():
@@ -160,7 +160,7 @@
 
 
 class GangTests(testtools.TestCase):
-    def test_nothing_starts_unless_all_members_hold(self):
+    def test_no_member_starts_unless_all_are_reserved(self):
         fake = FakeWorkers(m1_reserve=[WorkerErrorKind.REFUSED])
         result = run_async(attempt(fake, 3).run())
         self.assertEqual(
@@ -168,7 +168,7 @@
         )
         self.assertEqual([], [call for call in fake.calls if call[1] == "start"])
 
-    def test_answers_come_in_the_order_of_members(self):
+    def test_answers_are_in_the_order_of_members(self):
         result = run_async(attempt(FakeWorkers(), 3).run())
         self.assertEqual(("m0", "m1", "m2"), result.answers)
 
@@ -181,7 +181,7 @@
         )
         self.assertIn(("m0", "stop"), fake.calls)
 
-    def test_a_member_that_an_earlier_leader_left_reserved_is_started(self):
+    def test_a_member_left_reserved_by_an_earlier_leader_is_started(self):
         fake = FakeWorkers(m0_get=[LeaseState.FINISHED], m1_get=[LeaseState.RESERVED])
         resumed = attempt(fake, 2)
         for member in resumed.members:
@@ -189,7 +189,7 @@
         self.assertEqual(AttemptOutcome.FINISHED, run_async(resumed.run(), 5).outcome)
         self.assertEqual([("m1", "start")], [call for call in fake.calls if call[1] == "start"])
 
-    def test_a_leader_deposed_between_the_starts_leaves_the_gang_to_the_next(self):
+    def test_a_leader_deposed_between_starts_abandons_the_gang(self):
         fake = FakeWorkers(m0_start=[LeaseState.RUNNING])
         leads = iter([True] * 4 + [False] * 9)
         result = run_async(attempt(fake, 3, is_leader=lambda: next(leads)).run())
--- a/packages/agateferry-service/agateferry_service/dispatch/tests/test_budget.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/tests/test_budget.py
@@ -11,5 +11,5 @@
         allowed = sum(budget.try_spend() for _ in range(1000))
         self.assertEqual(RESERVED_RETRIES + 20, allowed)
 
-    def test_the_reserve_serves_a_quiet_zone(self):
+    def test_the_reserve_allows_a_retry_without_first_attempts(self):
         self.assertTrue(RetryBudget(0).try_spend())
--- a/packages/agateferry-service/agateferry_service/dispatch/tests/test_client.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/tests/test_client.py
@@ -23,24 +23,24 @@
     def parse_error(self, data, status=200):
         return parse_reply("z.1.1.0", status, data).error.kind
 
-    def test_a_whole_answer_is_passed_on(self):
+    def test_an_intact_answer_is_accepted(self):
         view = parse_reply("z.1.1.0", 200, reply()).ok
         self.assertEqual((LeaseState.FINISHED, "barn 12"), (view.state, view.answer))
 
-    def test_an_answer_that_was_cut_short_is_not_passed_on(self):
+    def test_a_truncated_answer_is_rejected(self):
         whole = reply()
         for data in (whole[:-9], b"", reply(answer="barn 1", length=7), reply(length=6)):
             self.assertEqual(WorkerErrorKind.GARBLED, self.parse_error(data))
 
-    def test_an_answer_without_its_length_or_digest_is_not_passed_on(self):
+    def test_an_answer_without_length_or_digest_is_rejected(self):
         for name in ("length", "digest"):
             self.assertEqual(WorkerErrorKind.GARBLED, self.parse_error(reply(**{name: None})))
 
-    def test_an_answer_of_equal_length_with_other_bytes_is_not_passed_on(self):
+    def test_an_altered_answer_of_equal_length_is_rejected(self):
         data = reply().replace(b"barn 12", b"barn 13")
         self.assertEqual(WorkerErrorKind.GARBLED, self.parse_error(data))
 
-    def test_an_answer_about_another_lease_is_not_passed_on(self):
+    def test_an_answer_about_another_lease_is_rejected(self):
         for lease in ("z.2.1.0", "z.1.2.0", "z.1.1.1"):
             self.assertEqual(WorkerErrorKind.GARBLED, self.parse_error(reply(lease)))
 
