--- a/packages/agateferry-service/agateferry_service/routing/__init__.py
+++ b/packages/agateferry-service/agateferry_service/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Finding the host that can answer a call, in this zone or another."""
+"""Routing of calls to the host that can answer them, in this zone or another."""
 
 from agateferry_service.routing.channels import Channels
 from agateferry_service.routing.router import Router, RpcMethod
--- a/packages/agateferry-service/agateferry_service/routing/calls.py
+++ b/packages/agateferry-service/agateferry_service/routing/calls.py
@@ -1,4 +1,4 @@
-"""The calls that entry hosts make to each other."""
+"""The RPC methods that entry hosts call on each other."""
 
 from agateferry_service.cell.cell import Cell
 from agateferry_service.records.plane import RecordsPlane
@@ -16,7 +16,7 @@
 
 
 class CellCalls:
-    """The calls to a zone's cell; `cell` is this host's own, which answers for its own zone."""
+    """The RPC methods of a zone's cell; `cell` is this host's own, called for its own zone."""
 
     def __init__(self, cell: Cell) -> None:
         self.submit = RpcMethod(
@@ -38,7 +38,7 @@
 
 
 class RecordsCalls:
-    """The calls to the records plane; `plane` is this host's own share, if it votes."""
+    """The RPC methods of the records plane; `plane` is this host's replica, if it is a voter."""
 
     def __init__(self, plane: RecordsPlane | None) -> None:
         self.put = RpcMethod(
--- a/packages/agateferry-service/agateferry_service/routing/channels.py
+++ b/packages/agateferry-service/agateferry_service/routing/channels.py
@@ -20,13 +20,13 @@
 
 
 class Channels:
-    """Hold one channel to each address, and replace one that has gone silent."""
+    """Keeps one channel per address, and replaces a channel whose host does not reply."""
 
     def __init__(self) -> None:
         self._channels: dict[str, grpc.aio.Channel] = {}
 
     def get(self, address: str) -> grpc.aio.Channel:
-        """Return the channel to an address, opened at first use."""
+        """Return the channel to an address, opened on first use."""
         channel = self._channels.get(address)
         if channel is None:
             channel = grpc.aio.insecure_channel(address, options=list(CHANNEL_OPTIONS))
@@ -34,7 +34,7 @@
         return channel
 
     async def replace(self, address: str) -> None:
-        """Drop the channel to an address, so that the next call opens a fresh connection."""
+        """Close the channel to an address, so that the next call opens a new connection."""
         channel = self._channels.pop(address, None)
         if channel is not None:
             await channel.close(grace=None)
--- a/packages/agateferry-service/agateferry_service/routing/router.py
+++ b/packages/agateferry-service/agateferry_service/routing/router.py
@@ -1,4 +1,4 @@
-"""Calls to whichever host leads a group: a zone's cell, or the records plane."""
+"""Calls to the host that leads a replication group: a zone's cell or the records plane."""
 
 import asyncio
 import random
@@ -17,13 +17,13 @@
 from agateferry_state.replica.metrics import count_received, count_sent
 
 RETRY_PAUSE_MS = 100
-ATTEMPT_MS = 2_000
-NEVER_SENT = "failed to connect"
+ATTEMPT_TIMEOUT_MS = 2_000
+CONNECT_FAILED_DETAIL = "failed to connect"
 
 
 @dataclass(frozen=True, slots=True)
 class GroupHost:
-    """A host of a group, by name and by the address of its peers' port."""
+    """A host of a group, with the address of its port for peers."""
 
     name: str
     address: str
@@ -31,24 +31,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RpcMethod:
-    """One kind of call: how to make its stub's method and its reply that carries a refusal.
+    """An RPC method: how to get it from a stub, and how to make a reply with a refusal.
 
-    `local` answers without a connection when this host is a member of the group. A call that is
-    not `sticky` can be answered by any member, and the next one goes to another.
+    `local` handles the call without a connection if this host belongs to the group. A method that
+    is not `sticky` can be served by any host; the next call goes to a random one.
     """
 
     name: str
-    method: Callable[[grpc.aio.Channel], Callable[..., Awaitable[Any]]]
-    refused: Callable[[pb.Refusal], Any]
+    stub_method: Callable[[grpc.aio.Channel], Callable[..., Awaitable[Any]]]
+    make_refusal: Callable[[pb.Refusal], Any]
     local: Callable[[Any], Awaitable[Any]] | None = None
     sticky: bool = True
 
 
 class Router:
-    """Find the leader of one group and call it, again where that is safe.
+    """Finds the leader of one group, calls it and retries.
 
-    Every call that passes here can be repeated: submissions carry the request's id, and the others
-    change nothing twice. A call that may have arrived and has no answer when time is up is refused
+    All calls are idempotent and can be retried: submissions carry the request's id, and the others
+    have no further effect. A call that may have arrived but has no reply at the timeout is refused
     as `outcome-unknown`, never as not run.
     """
 
@@ -60,7 +60,7 @@
         clock: Clock,
         metrics: Metrics,
         rng: random.Random,
-        attempt_ms: int = ATTEMPT_MS,
+        attempt_timeout_ms: int = ATTEMPT_TIMEOUT_MS,
     ) -> None:
         self._host = host
         self._members = {member.name: member for member in members}
@@ -68,48 +68,53 @@
         self._clock = clock
         self._metrics = metrics
         self._rng = rng
-        self._attempt_ms = attempt_ms
+        self._attempt_timeout_ms = attempt_timeout_ms
         self._leader: str | None = host if host in self._members else None
 
-    async def call(self, call: RpcMethod, request: Any, patience_ms: int, wait_ms: int = 0) -> Any:
-        """Call the leader, for up to `patience_ms` beyond the `wait_ms` it may hold the call."""
-        until_ms = self._clock.now_ms() + patience_ms + wait_ms
-        uncertain = False
-        heard = False
+    async def call(self, method: RpcMethod, request: Any, timeout_ms: int, wait_ms: int = 0) -> Any:
+        """Call the leader, with retries until `timeout_ms` plus `wait_ms` have passed.
+
+        `wait_ms` is how long the request lets the leader hold the call.
+        """
+        give_up_at_ms = self._clock.now_ms() + timeout_ms + wait_ms
+        outcome_unknown = False
+        got_reply = False
         while True:
-            target = self._target()
-            reply, sent = await self._try(call, target, request, patience_ms, wait_ms)
-            uncertain = uncertain or (sent and reply is None)
-            heard = heard or reply is not None
+            target = self._choose_target()
+            reply, may_have_arrived = await self._call_host(
+                method, target, request, timeout_ms, wait_ms
+            )
+            outcome_unknown = outcome_unknown or (may_have_arrived and reply is None)
+            got_reply = got_reply or reply is not None
             if reply is not None and not _is_not_leader(reply):
-                self._leader = target.name if call.sticky else None
+                self._leader = target.name if method.sticky else None
                 return reply
-            self._turn_to(target, reply)
-            if self._clock.now_ms() >= until_ms:
-                return call.refused(_give_up(uncertain, heard))
+            self._update_leader(target, reply)
+            if self._clock.now_ms() >= give_up_at_ms:
+                return method.make_refusal(_timeout_refusal(outcome_unknown, got_reply))
             self._metrics.retried("not-leader" if reply is not None else "no-answer")
             await self._pause()
 
-    def _target(self) -> GroupHost:
+    def _choose_target(self) -> GroupHost:
         if self._leader in self._members:
             return self._members[self._leader]
         return self._rng.choice(list(self._members.values()))
 
-    def _turn_to(self, target: GroupHost, reply: Any) -> None:
+    def _update_leader(self, target: GroupHost, reply: Any) -> None:
         hint = reply.refusal.leader if reply is not None else ""
         self._leader = hint if hint in self._members and hint != target.name else None
 
-    async def _try(
-        self, call: RpcMethod, target: GroupHost, request: Any, patience_ms: int, wait_ms: int
+    async def _call_host(
+        self, method: RpcMethod, target: GroupHost, request: Any, timeout_ms: int, wait_ms: int
     ) -> tuple[Any, bool]:
-        """Call one host; return its reply, or None and whether it may have got the call."""
-        if target.name == self._host and call.local is not None:
-            return await call.local(request), True
-        method = call.method(self._channels.get(target.address))
-        bound_ms = wait_ms + min(patience_ms, self._attempt_ms)
+        """Call one host; return its reply or None, and whether the call may have arrived."""
+        if target.name == self._host and method.local is not None:
+            return await method.local(request), True
+        stub_call = method.stub_method(self._channels.get(target.address))
+        call_timeout_ms = wait_ms + min(timeout_ms, self._attempt_timeout_ms)
         count_sent(request.ByteSize())
         try:
-            reply = await method(request, timeout=bound_ms / 1000)
+            reply = await stub_call(request, timeout=call_timeout_ms / 1000)
             count_received(reply.ByteSize())
             return reply, True
         except asyncio.CancelledError:
@@ -120,23 +125,23 @@
             if exc.code() is grpc.StatusCode.DEADLINE_EXCEEDED:
                 self._metrics.silent_connection("peer")
                 await self._channels.replace(target.address)
-            return None, NEVER_SENT not in (exc.details() or "")
+            return None, CONNECT_FAILED_DETAIL not in (exc.details() or "")
 
     async def _pause(self) -> None:
         await asyncio.sleep(RETRY_PAUSE_MS * self._rng.uniform(0.5, 1.5) / 1000)
 
 
 def _is_not_leader(reply: Any) -> bool:
-    refused = reply.HasField("refusal")
-    return bool(refused and reply.refusal.reason == RefusalReason.NOT_LEADER)
+    is_refused = reply.HasField("refusal")
+    return bool(is_refused and reply.refusal.reason == RefusalReason.NOT_LEADER)
 
 
-def _give_up(uncertain: bool, heard: bool) -> pb.Refusal:
-    if uncertain:
-        detail = "no answer came; ask again with the same key"
+def _timeout_refusal(outcome_unknown: bool, got_reply: bool) -> pb.Refusal:
+    if outcome_unknown:
+        detail = "no reply arrived; retry with the same key"
         return refusal(RefusalReason.OUTCOME_UNKNOWN, detail, RETRY_AFTER_MS)
-    if heard:
+    if got_reply:
         detail = "the hosts of the zone have no leader at present"
         return refusal(RefusalReason.NO_LEADER, detail, RETRY_AFTER_MS)
-    detail = "no host of the zone can be reached from here"
+    detail = "this host cannot reach any host of the zone"
     return refusal(RefusalReason.ZONE_UNREACHABLE, detail, RETRY_AFTER_MS)
--- a/packages/agateferry-service/agateferry_service/routing/tests/test_router.py
+++ b/packages/agateferry-service/agateferry_service/routing/tests/test_router.py
@@ -17,7 +17,7 @@
 
 
 class ClosedChannelTests(testtools.TestCase):
-    def test_a_call_whose_channel_was_closed_is_made_again(self):
+    def test_a_call_on_a_closed_channel_is_retried(self):
         tries = []
 
         async def method(request, **options):
@@ -35,7 +35,7 @@
 
         self.assertEqual("answer", run_async(main(), 10).body)
 
-    def test_a_cancelled_caller_is_not_held(self):
+    def test_a_cancelled_call_ends_at_once(self):
         async def method(request, **options):
             await asyncio.sleep(60)
 
--- a/packages/agateferry-service/agateferry_service/routing/zone_routers.py
+++ b/packages/agateferry-service/agateferry_service/routing/zone_routers.py
@@ -1,4 +1,4 @@
-"""The routers to all availability zones."""
+"""The routers to all availability zones and to the records plane."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 class ZoneRouters:
-    """Hold a router for each zone and one for the records plane."""
+    """Holds a router for each zone and one for the records plane."""
 
     def __init__(
         self,
