--- a/packages/agateferry-service/agateferry_service/cell/attempts.py
+++ b/packages/agateferry-service/agateferry_service/cell/attempts.py
@@ -29,7 +29,7 @@
 
 MAX_REQUEUE_DELAY_MS = 2_000
 BUDGET_EXHAUSTED_DELAY_MS = 5_000
-MAX_COUNTED_REQUEUES = 8
+MAX_COUNTED_REQUEUES = 8  # bounds the exponent of the requeue delay
 REASONS_WITHOUT_WORKER_FAULT = frozenset(
     {"no-capacity", "leaving", "wrong-incarnation", "deadline", "deposed", "gang-not-reserved"}
 )
--- a/packages/agateferry-service/agateferry_service/cell/tests/test_cell.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/test_cell.py
@@ -164,7 +164,7 @@
         self.assertEqual("finished", run_async(main()).state)
         self.assertEqual({("z.1", 0): 1}, workers.starts)
 
-    def test_an_intent_that_was_never_sent_is_carried_out_by_the_next_leader(self):
+    def test_a_placement_that_was_never_sent_is_started_by_the_next_leader(self):
         workers = FakeWorkers()
         workers.silent.add("w1")
         workers.silent.add("w2")
--- a/packages/agateferry-service/agateferry_service/routing/router.py
+++ b/packages/agateferry-service/agateferry_service/routing/router.py
@@ -101,8 +101,10 @@
         return self._rng.choice(list(self._members.values()))
 
     def _update_leader(self, target: GroupHost, reply: Any) -> None:
-        hint = reply.refusal.leader if reply is not None else ""
-        self._leader = hint if hint in self._members and hint != target.name else None
+        named_leader = reply.refusal.leader if reply is not None else ""
+        self._leader = (
+            named_leader if named_leader in self._members and named_leader != target.name else None
+        )
 
     async def _call_host(
         self, method: RpcMethod, target: GroupHost, request: Any, timeout_ms: int, wait_ms: int
