--- a/packages/agateferry-service/agateferry_service/cell/admission.py
+++ b/packages/agateferry-service/agateferry_service/cell/admission.py
@@ -1,4 +1,4 @@
-"""Completing a submission by its job record, or refusing it before anything is stored."""
+"""Admission of requests: completes a submission from its job record, or refuses it unstored."""
 
 from dataclasses import dataclass
 
@@ -6,20 +6,20 @@
 from agateferry_scheduling.scheduler.messages import PendingRequest
 from agateferry_service.cell.catalog import Catalog
 from agateferry_service.cell.refusals import RefusalReason, refusal
-from agateferry_service.requests import Spec
+from agateferry_service.requests import RequestSpec
 from agateferry_service.requests.codec import demand_from_pb
 from agateferry_service.rpc import cell_pb2 as pb
 
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Check submissions against the records that are in force in this zone."""
+    """Checks submissions against the records in force in this zone."""
 
     catalog: Catalog
     clock: Clock
 
-    def admit(self, req: pb.SubmitRequest) -> Spec | pb.Refusal:
-        """Return the completed request, or why it was not run."""
+    def admit(self, req: pb.SubmitRequest) -> RequestSpec | pb.Refusal:
+        """Return the completed request, or the refusal if it cannot be admitted."""
         if self.catalog.team(req.team) is None:
             return refusal(RefusalReason.UNKNOWN_TEAM, f"no team record is named {req.team}")
         job = self.catalog.job(req.job)
@@ -29,7 +29,7 @@
             detail = f"job {req.job} is not idempotent; send an Idempotency-Key"
             return refusal(RefusalReason.KEY_REQUIRED, detail)
         wall_ms = self.clock.wall_ms()
-        return Spec(
+        return RequestSpec(
             id=req.id,
             team=req.team,
             job=req.job,
@@ -48,8 +48,8 @@
         )
 
 
-def pending_of(spec: Spec, clock: Clock) -> PendingRequest:
-    """Return a request as the scheduler sees it, its times on the monotonic clock."""
+def to_pending_request(spec: RequestSpec, clock: Clock) -> PendingRequest:
+    """Return the scheduler's form of a request, with its times on the monotonic clock."""
     offset_ms = clock.now_ms() - clock.wall_ms()
     return PendingRequest(
         request_id=spec.id,
--- a/packages/agateferry-service/agateferry_service/cell/proposer.py
+++ b/packages/agateferry-service/agateferry_service/cell/proposer.py
@@ -1,11 +1,11 @@
-"""Proposing commands to the cell's log."""
+"""Proposals of commands to the cell's log."""
 
 from collections.abc import Callable
 
 from expression import Error, Ok, Result
 
 from agateferry_core.metrics import Metrics
-from agateferry_service.cell.refusals import COME_BACK_MS, RefusalReason, not_leader, refusal
+from agateferry_service.cell.refusals import RETRY_AFTER_MS, RefusalReason, not_leader, refusal
 from agateferry_service.rpc import cell_pb2, commands_pb2
 from agateferry_state.replica import ProposeError, ProposeErrorKind, Replica
 
@@ -13,48 +13,48 @@
 
 
 class Proposer:
-    """Turn commands into log entries and failures into refusals.
+    """Proposes commands to the replicated log.
 
-    `doubtful` is set by a command whose outcome was not learned. The leader's own view may then
-    lack what the log holds, so it has to be built anew from the ledger before it is trusted again.
+    `outcome_uncertain` is set when the outcome of a command is unknown. The leader's state may then
+    lack what the log holds, so the leader must restart and rebuild it from the ledger.
     """
 
     def __init__(self, replica: Replica, metrics: Metrics) -> None:
         self._replica = replica
         self._metrics = metrics
-        self.doubtful = False
-        self.on_doubt: Callable[[], None] = lambda: None
+        self.outcome_uncertain = False
+        self.on_outcome_uncertain: Callable[[], None] = lambda: None
 
-    def doubt(self) -> None:
-        """Have the leader's view built anew from the log."""
-        self.doubtful = True
-        self.on_doubt()
+    def mark_outcome_uncertain(self) -> None:
+        """Request a restart of the leader, which rebuilds its state from the ledger."""
+        self.outcome_uncertain = True
+        self.on_outcome_uncertain()
 
     async def propose(self, **command: object) -> Result[object, ProposeError]:
-        """Propose one command, named by its field, and return the machine's outcome.
+        """Propose one command, named by its field, and return the state machine's result.
 
         For example `await proposer.propose(cancel=pb.RequestCancel(request_id="z.1"))`.
         """
         message = commands_pb2.Command(**command)  # type: ignore[arg-type]
         result = await self._replica.propose(message.SerializeToString())
         if result.is_error():
-            self.doubt()
+            self.mark_outcome_uncertain()
             self._metrics.proposed(LOG_NAME, result.error.kind.value)
             return Error(result.error)
         self._metrics.proposed(LOG_NAME, "applied")
         return Ok(result.ok.outcome)
 
 
-def propose_refusal(error: ProposeError) -> cell_pb2.Refusal:
-    """Tell a caller why its command has no outcome."""
+def refusal_for_propose_error(error: ProposeError) -> cell_pb2.Refusal:
+    """Return the refusal for a command that failed or whose outcome is unknown."""
     match error.kind:
         case ProposeErrorKind.NOT_LEADER:
             return not_leader(error.leader)
         case ProposeErrorKind.STOPPED:
-            return refusal(RefusalReason.STOPPING, "this host is stopping", COME_BACK_MS)
+            return refusal(RefusalReason.STOPPING, "this host is stopping", RETRY_AFTER_MS)
         case ProposeErrorKind.STORAGE_FAILED:
             detail = error.detail or "the disk failed"
-            return refusal(RefusalReason.STORAGE_FAILED, detail, COME_BACK_MS)
+            return refusal(RefusalReason.STORAGE_FAILED, detail, RETRY_AFTER_MS)
         case ProposeErrorKind.UNKNOWN:
-            detail = "the state's answer was lost; ask again with the same key"
-            return refusal(RefusalReason.OUTCOME_UNKNOWN, detail, COME_BACK_MS)
+            detail = "the outcome is unknown; retry with the same key"
+            return refusal(RefusalReason.OUTCOME_UNKNOWN, detail, RETRY_AFTER_MS)
--- a/packages/agateferry-service/agateferry_service/cell/tests/support.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/support.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of a cell: a replica in memory and workers that keep their leases."""
+"""Fakes for tests of a cell: an in-memory replica, and workers that keep leases."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,13 @@
 from agateferry_state.replica import Applied, ProposeError, ProposeErrorKind
 
 TIMES = CellTimes(
-    attempt=AttemptTimes(hold_ms=10, resolve_ms=50, backoff_ms=5, look_ms=20, reserve_ms=1_000),
+    attempt=AttemptTimes(
+        start_wait_ms=10,
+        resolve_timeout_ms=50,
+        backoff_ms=5,
+        poll_interval_ms=20,
+        reservation_ttl_ms=1_000,
+    ),
     tick_ms=10,
     worker_silence_ms=100_000,
     requeue_ms=5,
@@ -35,7 +41,7 @@
 
 
 class MemoryReplica:
-    """Apply each command at once; `is_leader` and `failing` are switched by tests."""
+    """Applies each command at once; tests set `is_leader` and `failing`."""
 
     def __init__(self, machine):
         self.machine = machine
@@ -73,7 +79,7 @@
 
 
 class FakeWorkers:
-    """Keep leases as workers do; `starts` counts what really ran, by request and member."""
+    """Keeps leases as workers do; `starts` counts actual starts by request and member."""
 
     def __init__(self):
         self.leases = {}
@@ -99,14 +105,14 @@
                 self.finish(order.lease)
         return self._answer(address, order.lease)
 
-    async def look(self, address, lease):
+    async def get_lease(self, address, lease):
         if address not in self.silent and lease not in self.leases:
             return Error(WorkerError(WorkerErrorKind.UNKNOWN_LEASE))
         return self._answer(address, lease)
 
-    async def act(self, address, lease, verb, reason=""):
+    async def control(self, address, lease, action, reason=""):
         known = self.leases.get(lease)
-        if verb == "stop" and (known is None or not known.final):
+        if action == "stop" and (known is None or not known.final):
             self._put(lease, LeaseState.STOPPED)
         return self._answer(address, lease)
 
--- a/packages/agateferry-service/agateferry_service/cell/waiters.py
+++ b/packages/agateferry-service/agateferry_service/cell/waiters.py
@@ -1,31 +1,31 @@
-"""Callers that wait for the end of a request."""
+"""Callers that wait until a request ends."""
 
 import asyncio
 from typing import Any
 
-from agateferry_service.requests import Outcome, Request
+from agateferry_service.requests import CommandResult, Request
 from agateferry_service.rpc import commands_pb2 as pb
 
 
 class Waiters:
-    """Wake those who wait when the request they wait for has ended.
+    """Wakes callers when the request that they wait for has ended.
 
-    It listens to the cell's machine, so it tells nothing that has not been committed.
+    It listens to the state machine, so a caller never learns of an end that is not committed.
     """
 
     def __init__(self) -> None:
         self._events: dict[str, asyncio.Event] = {}
         self._counts: dict[str, int] = {}
 
-    def on_applied(self, command: pb.Command, outcome: Any) -> None:
-        """Take in one applied command."""
-        if not isinstance(outcome, Outcome) or outcome.request is None:
+    def on_applied(self, command: pb.Command, result: Any) -> None:
+        """Wake the waiters of a request that an applied command has ended."""
+        if not isinstance(result, CommandResult) or result.request is None:
             return
-        event = self._events.get(outcome.request.id)
-        if event is not None and outcome.request.ended:
+        event = self._events.get(result.request.id)
+        if event is not None and result.request.ended:
             event.set()
 
-    async def until_ended(self, request: Request, wait_ms: int) -> None:
+    async def wait_until_ended(self, request: Request, wait_ms: int) -> None:
         """Return when the request has ended, or after `wait_ms` milliseconds."""
         if request.ended or wait_ms <= 0:
             return
@@ -37,14 +37,14 @@
         except TimeoutError:
             return
         finally:
-            self._leave(request.id)
+            self._remove_waiter(request.id)
 
-    def release(self) -> None:
-        """Let all who wait go on, because this host can no longer tell them the end."""
+    def wake_all(self) -> None:
+        """Wake all waiters, because this host no longer leads and cannot learn the end."""
         for event in self._events.values():
             event.set()
 
-    def _leave(self, request_id: str) -> None:
+    def _remove_waiter(self, request_id: str) -> None:
         self._counts[request_id] -= 1
         if self._counts[request_id] == 0:
             del self._counts[request_id]
--- a/packages/agateferry-service/agateferry_service/dispatch/budget.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/budget.py
@@ -1,30 +1,30 @@
-"""A bound on how much work retries may add.
+"""A budget that bounds the additional load of retries.
 
-After "Handling Overload" in the Site Reliability Engineering book (Beyer and others, 2016): when
-much fails at once, retries must not grow with the failures.
+As in "Handling Overload" in the Site Reliability Engineering book (Beyer and others, 2016): when
+many requests fail at once, retries must not grow with the failures.
 """
 
-RESERVE = 10
+RESERVED_RETRIES = 10
 RETRY_COST = 100
-MOST_SAVED = 110
+MAX_SAVED_RETRIES = 110
 
 
 class RetryBudget:
-    """Allow retries in proportion to first attempts, with a small reserve.
+    """Allows retries in proportion to first attempts, plus a small reserve.
 
-    For example with 20 percent, a hundred first attempts pay for twenty retries.
+    For example, with 20 percent a hundred first attempts allow twenty retries.
     """
 
     def __init__(self, percent: int) -> None:
         self._percent = percent
-        self._credit = RESERVE * RETRY_COST
+        self._credit = RESERVED_RETRIES * RETRY_COST
 
-    def note_first(self) -> None:
-        """Count a first attempt."""
-        self._credit = min(MOST_SAVED * RETRY_COST, self._credit + self._percent)
+    def record_first_attempt(self) -> None:
+        """Add the credit of one first attempt."""
+        self._credit = min(MAX_SAVED_RETRIES * RETRY_COST, self._credit + self._percent)
 
-    def take(self) -> bool:
-        """Pay for one retry; False when the budget is used up."""
+    def try_spend(self) -> bool:
+        """Spend one retry; return False if the budget is exhausted."""
         if self._credit < RETRY_COST:
             return False
         self._credit -= RETRY_COST
--- a/packages/agateferry-service/agateferry_service/dispatch/client.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/client.py
@@ -1,4 +1,4 @@
-"""The calls to workers, over HTTP."""
+"""The HTTP client for calls to workers."""
 
 import hashlib
 import json
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """All that a worker needs to reserve for one member and to run it."""
+    """What a worker needs to reserve resources for one member and to run it."""
 
     lease: str
     request_id: str
@@ -48,29 +48,29 @@
 
 
 class WorkerCalls(Protocol):
-    """The calls that an attempt makes; a test answers them from memory."""
+    """The calls that an attempt makes; tests replace them with a fake."""
 
     async def reserve(
         self, address: str, order: StartOrder, ttl_ms: int
     ) -> Result[LeaseView, WorkerError]:
-        """Hold capacity for one member of a gang."""
+        """Reserve resources for one member of a gang."""
 
     async def start(
         self, address: str, order: StartOrder, wait_ms: int
     ) -> Result[LeaseView, WorkerError]:
-        """Start a member; repeating it for the same lease starts nothing anew."""
+        """Start a member; a repeated call for the same lease does not start it again."""
 
-    async def look(self, address: str, lease: str) -> Result[LeaseView, WorkerError]:
-        """Ask what became of a lease, over a connection opened for this call alone."""
+    async def get_lease(self, address: str, lease: str) -> Result[LeaseView, WorkerError]:
+        """Return the state of a lease, over a connection opened for this call only."""
 
-    async def act(
-        self, address: str, lease: str, verb: str, reason: str = ""
+    async def control(
+        self, address: str, lease: str, action: str, reason: str = ""
     ) -> Result[LeaseView, WorkerError]:
-        """Stop, checkpoint or throttle a lease; `verb` names which."""
+        """Stop, checkpoint or throttle a lease, as `action` says."""
 
 
 class LeaseBody(BaseModel):
-    """The JSON of a lease as workers send it."""
+    """The JSON body of a lease in a worker's reply."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -85,7 +85,10 @@
 
 
 class WorkerClient:
-    """Call workers over pooled connections, and over fresh ones where a pooled one fell silent."""
+    """Calls workers over pooled connections, and polls leases over fresh ones.
+
+    A poll may follow a call that got no reply, so it must not depend on the same connection.
+    """
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -103,17 +106,17 @@
     async def reserve(
         self, address: str, order: StartOrder, ttl_ms: int
     ) -> Result[LeaseView, WorkerError]:
-        """Hold capacity for one member of a gang for `ttl_ms` milliseconds."""
-        body = {**_reservation(order), "ttl_ms": ttl_ms}
+        """Reserve resources for one member of a gang for `ttl_ms` milliseconds."""
+        body = {**_reservation_body(order), "ttl_ms": ttl_ms}
         return await self._post(address, order.lease, "reserve", body)
 
     async def start(
         self, address: str, order: StartOrder, wait_ms: int
     ) -> Result[LeaseView, WorkerError]:
-        """Start a member and wait up to `wait_ms` for its end."""
+        """Start a member and wait up to `wait_ms` milliseconds for its end."""
         step = order.checkpoint_step
         body = {
-            **_reservation(order),
+            **_reservation_body(order),
             "job": order.job,
             "team": order.team,
             "payload": order.payload,
@@ -122,20 +125,20 @@
         }
         return await self._post(address, order.lease, "start", body, wait_ms)
 
-    async def look(self, address: str, lease: str) -> Result[LeaseView, WorkerError]:
-        """Ask what became of a lease, over a connection opened for this call alone."""
+    async def get_lease(self, address: str, lease: str) -> Result[LeaseView, WorkerError]:
+        """Return the state of a lease, over a connection opened for this call only."""
         return await self._call(self._fresh, "GET", address, lease, "", None, 0)
 
-    async def act(
-        self, address: str, lease: str, verb: str, reason: str = ""
+    async def control(
+        self, address: str, lease: str, action: str, reason: str = ""
     ) -> Result[LeaseView, WorkerError]:
         """Stop, checkpoint or throttle a lease."""
-        return await self._post(address, lease, verb, {"reason": reason})
+        return await self._post(address, lease, action, {"reason": reason})
 
     async def _post(
-        self, address: str, lease: str, verb: str, body: dict[str, Any], wait_ms: int = 0
+        self, address: str, lease: str, action: str, body: dict[str, Any], wait_ms: int = 0
     ) -> Result[LeaseView, WorkerError]:
-        return await self._call(self._pooled, "POST", address, lease, verb, body, wait_ms)
+        return await self._call(self._pooled, "POST", address, lease, action, body, wait_ms)
 
     async def _call(
         self,
@@ -143,30 +146,30 @@
         method: str,
         address: str,
         lease: str,
-        verb: str,
+        action: str,
         body: dict[str, Any] | None,
         wait_ms: int,
     ) -> Result[LeaseView, WorkerError]:
-        reply = await self._exchange(session, method, address, lease, verb, body, wait_ms)
+        reply = await self._send(session, method, address, lease, action, body, wait_ms)
         if reply.is_error() and reply.error.kind is WorkerErrorKind.GARBLED:
-            self._metrics.broken_answer(verb or "look")
+            self._metrics.broken_answer(action or "look")
         if reply.is_error() and reply.error.kind is WorkerErrorKind.SILENT:
             self._metrics.silent_connection("worker")
         return reply
 
-    async def _exchange(
+    async def _send(
         self,
         session: aiohttp.ClientSession,
         method: str,
         address: str,
         lease: str,
-        verb: str,
+        action: str,
         body: dict[str, Any] | None,
         wait_ms: int,
     ) -> Result[LeaseView, WorkerError]:
         url = f"http://{address}/v1/leases/{quote(lease, safe='')}"
-        if verb:
-            url = f"{url}/{verb}"
+        if action:
+            url = f"{url}/{action}"
         headers = {"Prefer": f"wait={wait_ms / 1000:g}"} if wait_ms else {}
         total_s = (wait_ms + WAIT_GRACE_MS) / 1000 if wait_ms else CALL_TIMEOUT_S
         timeout = aiohttp.ClientTimeout(sock_connect=CONNECT_TIMEOUT_S, total=total_s)
@@ -174,19 +177,19 @@
             async with session.request(
                 method, url, json=body, headers=headers, timeout=timeout
             ) as resp:
-                return read_reply(lease, resp.status, await read_bounded(resp))
+                return parse_reply(lease, resp.status, await read_limited(resp))
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
             return Error(WorkerError(WorkerErrorKind.UNREACHED, detail=str(exc)))
         except aiohttp.ClientPayloadError as exc:
             return Error(WorkerError(WorkerErrorKind.GARBLED, detail=str(exc)))
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
-            return Error(WorkerError(WorkerErrorKind.SILENT, detail=str(exc) or "no answer"))
+            return Error(WorkerError(WorkerErrorKind.SILENT, detail=str(exc) or "no reply"))
 
 
-def read_reply(lease: str, status: int, data: bytes) -> Result[LeaseView, WorkerError]:
-    """Check one reply: it must be whole, and about the lease that was asked for."""
+def parse_reply(lease: str, status: int, data: bytes) -> Result[LeaseView, WorkerError]:
+    """Parse a reply and check that it is complete and about the requested lease."""
     if status in PROBLEM_STATUSES:
-        return Error(_problem(status, data))
+        return Error(_parse_problem(status, data))
     if status not in (200, 202):
         detail = f"status {status}"
         return Error(WorkerError(WorkerErrorKind.GARBLED, detail=detail))
@@ -195,9 +198,9 @@
     except ValidationError as exc:
         return Error(WorkerError(WorkerErrorKind.GARBLED, detail=str(exc.errors()[0]["msg"])))
     if body.lease != lease:
-        detail = f"the answer is about lease {body.lease}"
+        detail = f"the reply is about lease {body.lease}"
         return Error(WorkerError(WorkerErrorKind.GARBLED, detail=detail))
-    if body.state is LeaseState.FINISHED and not is_whole(body):
+    if body.state is LeaseState.FINISHED and not is_intact(body):
         return Error(WorkerError(WorkerErrorKind.GARBLED, detail="length or digest do not match"))
     step = NO_CHECKPOINT if body.checkpoint_step is None else body.checkpoint_step
     return Ok(
@@ -205,25 +208,25 @@
     )
 
 
-async def read_bounded(resp: aiohttp.ClientResponse) -> bytes:
-    """Read a body of at most MAX_ANSWER_BYTES bytes."""
+async def read_limited(resp: aiohttp.ClientResponse) -> bytes:
+    """Read a body of at most MAX_ANSWER_BYTES bytes, or raise ClientPayloadError."""
     data = bytearray()
     async for chunk in resp.content.iter_any():
         data += chunk
         if len(data) > MAX_ANSWER_BYTES:
-            raise aiohttp.ClientPayloadError(f"more than {MAX_ANSWER_BYTES} bytes")
+            raise aiohttp.ClientPayloadError(f"the body has more than {MAX_ANSWER_BYTES} bytes")
     return bytes(data)
 
 
-def is_whole(body: LeaseBody) -> bool:
-    """Tell whether an answer has the length and the digest that came with it."""
+def is_intact(body: LeaseBody) -> bool:
+    """Tell whether the answer matches the length and the digest in its reply."""
     if body.answer is None:
         return False
     data = body.answer.encode()
     return len(data) == body.length and hashlib.sha256(data).hexdigest() == body.digest
 
 
-def _reservation(order: StartOrder) -> dict[str, Any]:
+def _reservation_body(order: StartOrder) -> dict[str, Any]:
     return {
         "request_id": order.request_id,
         "attempt": order.attempt,
@@ -236,7 +239,7 @@
     }
 
 
-def _problem(status: int, data: bytes) -> WorkerError:
+def _parse_problem(status: int, data: bytes) -> WorkerError:
     try:
         body = json.loads(data)
     except ValueError:
--- a/packages/agateferry-service/agateferry_service/requests/messages.py
+++ b/packages/agateferry-service/agateferry_service/requests/messages.py
@@ -1,4 +1,4 @@
-"""What the ledger answers to a command."""
+"""The results that the ledger returns for commands."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,8 +6,8 @@
 from agateferry_service.requests.state import Request
 
 
-class OutcomeKind(StrEnum):
-    """Say what a command did to the ledger."""
+class CommandResultKind(StrEnum):
+    """What a command did to the ledger."""
 
     DONE = "done"
     DUPLICATE = "duplicate"
@@ -18,8 +18,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """The effect of one command and the request as it stands after it, where there is one."""
+class CommandResult:
+    """The effect of a command, and the request after it if there is one."""
 
-    kind: OutcomeKind
+    kind: CommandResultKind
     request: Request | None = None
