--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
@@ -44,7 +44,7 @@
     workers: list[Worker] = []
     for name in cell.places:
         state = topology.workers.get(name)
-        if state is None or not state.is_open():
+        if state is None or not state.is_schedulable():
             return False
         workers.append(state.worker)
     if sum(cell.places.values()) != cell.accelerators:
--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
@@ -13,7 +13,7 @@
 from agateferry_core.demand import Adjacency, Demand
 from agateferry_scheduling.scheduler.messages import Team
 from agateferry_scheduling.topology import Allocation, Backing, Topology, WorkerState
-from agateferry_scheduling.topology.amount import Amount, share, whole
+from agateferry_scheduling.topology.amount import Amount, proportional_resources, total_resources
 
 STRICTNESS = {Adjacency.WORKER: 0, Adjacency.RACK: 1, Adjacency.ANY: 2}
 
@@ -96,15 +96,17 @@
         laid = self.team_laid[team].get(state.name, 0)
         if laid == 0:
             return 0
-        within = share(state.worker, laid)
+        within = proportional_resources(state.worker, laid)
         used = self.own[team].get(state.name)
         if used is not None:
             within = within.minus(used)
-        return within.room_for(demand)
+        return within.fitting_members(demand)
 
     def slack(self, state: WorkerState) -> Amount:
         """Return what no cell and no pinned work takes on a worker."""
-        left = whole(state.worker).minus(share(state.worker, self.laid.get(state.name, 0)))
+        left = total_resources(state.worker).minus(
+            proportional_resources(state.worker, self.laid.get(state.name, 0))
+        )
         pinned = self.pinned.get(state.name)
         return left.minus(pinned) if pinned is not None else left
 
@@ -128,7 +130,7 @@
             if used is None:
                 continue
             state = self.topology.workers[name]
-            rest = share(state.worker, self.team_laid[cell.team][name] - laid)
+            rest = proportional_resources(state.worker, self.team_laid[cell.team][name] - laid)
             if rest.minus(used).is_negative():
                 return False
         return True
@@ -167,15 +169,19 @@
 
     def _takes(self, name: str, accelerators: int) -> bool:
         state = self.topology.workers.get(name)
-        if state is None or not state.is_open():
+        if state is None or not state.is_schedulable():
             return False
-        return not self.slack(state).minus(share(state.worker, accelerators)).is_negative()
+        return (
+            not self.slack(state)
+            .minus(proportional_resources(state.worker, accelerators))
+            .is_negative()
+        )
 
     def _room(self, cell: Cell, state: WorkerState) -> int:
         """Return how many accelerators of a cell a worker can take."""
         slack = self.slack(state)
         room = min(slack.accelerators, cell.accelerators)
-        while room > 0 and slack.minus(share(state.worker, room)).is_negative():
+        while room > 0 and slack.minus(proportional_resources(state.worker, room)).is_negative():
             room -= 1
         return max(room, 0)
 
@@ -184,10 +190,12 @@
         own = self.own[cell.team]
         rooms: dict[str, list[tuple[bool, int, int, str]]] = defaultdict(list)
         for state in self.topology.index.accelerated.values():
-            room = self._room(cell, state) if state.is_open() else 0
+            room = self._room(cell, state) if state.is_schedulable() else 0
             if room:
                 uncovered = state.name in own and not self.team_laid[cell.team].get(state.name)
-                rooms[state.worker.rack].append((not uncovered, room, state.number, state.name))
+                rooms[state.worker.rack].append(
+                    (not uncovered, room, state.join_number, state.name)
+                )
         if cell.adjacency is Adjacency.WORKER:
             fits = [r for rack in rooms.values() for r in rack if r[1] >= cell.accelerators]
             fits.sort(key=lambda r: (r[0], self._slack_of(r[3]), r[2]))
@@ -214,7 +222,7 @@
 
     def _put(self, cell: Cell, places: dict[str, int]) -> None:
         cell.places = places
-        self.topology.freed.add(places)
+        self.topology.freed_log.add(places)
         team = self.team_laid[cell.team]
         for name, count in places.items():
             self.laid[name] += count
@@ -227,13 +235,13 @@
             team[name] -= count
             if team[name] == 0:
                 del team[name]
-        self.topology.freed.add(cell.places)
+        self.topology.freed_log.add(cell.places)
         cell.places = {}
 
     def _holds(self, name: str) -> bool:
         """Tell whether a worker is open and large enough for what is laid on it."""
         state = self.topology.workers.get(name)
-        return state is not None and state.is_open() and not self.slack(state).is_negative()
+        return state is not None and state.is_schedulable() and not self.slack(state).is_negative()
 
     def _covers(self, team: str, name: str) -> bool:
         used = self.own[team].get(name)
@@ -242,7 +250,11 @@
         state = self.topology.workers.get(name)
         if state is None:
             return False
-        return not share(state.worker, self.team_laid[team].get(name, 0)).minus(used).is_negative()
+        return (
+            not proportional_resources(state.worker, self.team_laid[team].get(name, 0))
+            .minus(used)
+            .is_negative()
+        )
 
     def _settle(self) -> None:
         """Lay out what is not, and demote guaranteed work without a cell, until nothing changes."""
@@ -275,7 +287,7 @@
 
     def _recount(self, allocation: Allocation, backing: Backing) -> None:
         self.charge(allocation, -1)
-        self.topology.change(allocation, backing=backing)
+        self.topology.update_allocation(allocation, backing=backing)
         self.charge(allocation, 1)
 
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/tests/test_layout.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/tests/test_layout.py
@@ -34,7 +34,7 @@
         self.set_teams(Team("a", (Shape(8),)))
         [cell] = self.layout.cells
         [name] = cell.places
-        self.topology.lose(name)
+        self.topology.remove_worker(name)
         self.layout.refresh()
         self.assertNotIn(name, cell.places)
         self.assertIs(None, broken_guarantee(self.topology, self.layout, self.teams))
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/choice.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/choice.py
@@ -65,7 +65,7 @@
 
 
 def _order(candidate: Candidate) -> tuple[float, int]:
-    return candidate.cost, candidate.state.number
+    return candidate.cost, candidate.state.join_number
 
 
 def _fill(rack: list[Candidate], demand: Demand) -> Counts:
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/compaction.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/compaction.py
@@ -50,11 +50,15 @@
 ) -> list[Allocation]:
     """Return checkpointable allocations on the least used of the partly used racks' workers."""
     workers = topology.index.accelerated.values()
-    used = [w for w in workers if w.worker.accelerators > w.free_accelerators >= 0 and w.is_open()]
-    used.sort(key=lambda w: (-w.free_accelerators, w.number))
+    used = [
+        w
+        for w in workers
+        if w.worker.accelerators > w.free_accelerators >= 0 and w.is_schedulable()
+    ]
+    used.sort(key=lambda w: (-w.free_accelerators, w.join_number))
     found: dict[str, Allocation] = {}
     for state in used[:WORKERS_WEIGHED]:
-        for request_id in sorted(state.requests):
+        for request_id in sorted(state.request_ids):
             allocation = topology.allocations[request_id]
             if not _may_move(allocation) or now_ms - allocation.started_ms < SHORTEST_RUN_MS:
                 continue
@@ -77,11 +81,11 @@
     demand = allocation.request.demand
     candidates = []
     for state in topology.index.accelerated.values():
-        if state.free_accelerators < demand.accelerators or not state.is_open():
+        if state.free_accelerators < demand.accelerators or not state.is_schedulable():
             continue
         if state.name in allocation.counts:
             continue
-        room = state.room_for(demand)
+        room = state.fitting_members(demand)
         if room:
             rack = topology.racks[state.worker.rack]
             candidates.append(Candidate(state, room, cost_of(state, rack, demand)))
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
@@ -20,15 +20,15 @@
 def first_fit(topology: Topology, demand: Demand) -> Counts | None:
     """Return how many members go to which worker, or None when the whole gang does not fit."""
     if demand.adjacency is Adjacency.ANY:
-        return _fill(topology.open_workers(), demand)
+        return _fill(topology.schedulable_workers(), demand)
     if demand.adjacency is Adjacency.RACK:
         for rack in topology.racks.values():
-            counts = _fill((w for w in rack.workers.values() if w.is_open()), demand)
+            counts = _fill((w for w in rack.workers.values() if w.is_schedulable()), demand)
             if counts is not None:
                 return counts
         return None
-    for worker in topology.open_workers():
-        if worker.room_for(demand) >= demand.members:
+    for worker in topology.schedulable_workers():
+        if worker.fitting_members(demand) >= demand.members:
             return {worker.name: demand.members}
     return None
 
@@ -37,7 +37,7 @@
     counts: Counts = {}
     missing = demand.members
     for worker in workers:
-        taken = min(worker.room_for(demand), missing)
+        taken = min(worker.fitting_members(demand), missing)
         if taken:
             counts[worker.name] = taken
             missing -= taken
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_choice.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_choice.py
@@ -41,7 +41,7 @@
 
     def test_breaking_a_second_worker_strands_accelerators(self):
         demand = Demand(accelerators=4)
-        self.topology.workers["w0"].take(demand, 1)
+        self.topology.workers["w0"].allocate(demand, 1)
         self.topology.free_accelerators -= 4
         self.assertEqual(0, stranded_by(self.topology, demand, {"w0": 1}, 0))
         self.assertEqual(8, stranded_by(self.topology, demand, {"w1": 1}, 0))
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/claims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/claims.py
@@ -47,7 +47,7 @@
             demand = claim.allocation.request.demand
             counts = claim.allocation.counts
             fits = all(
-                self._vacant(name).minus(used[name]).room_for(demand) >= members
+                self._vacant(name).minus(used[name]).fitting_members(demand) >= members
                 for name, members in counts.items()
             )
             if not fits:
@@ -67,8 +67,8 @@
 
     def _vacant(self, name: str) -> Amount:
         state = self._topology.workers.get(name)
-        return Amount() if state is None else state.vacant()
+        return Amount() if state is None else state.free_including_pending()
 
     def _is_open(self, name: str) -> bool:
         state = self._topology.workers.get(name)
-        return state is not None and state.is_open()
+        return state is not None and state.is_schedulable()
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
@@ -66,7 +66,7 @@
     topology: Topology, state: WorkerState, allowed: Allowed, now_ms: int
 ) -> list[tuple[int, Allocation]]:
     found = []
-    for request_id in state.requests:
+    for request_id in state.request_ids:
         allocation = topology.allocations[request_id]
         taken_back = allocation.backing is Backing.BORROWED
         if taken_back and not (allocation.stopping or allocation.pending) and allowed(allocation):
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
@@ -48,7 +48,7 @@
     racks = sorted(topology.racks.values(), key=lambda rack: -rack.free_accelerators)
     if demand.adjacency is Adjacency.ANY:
         return [_enough(topology, demand)]
-    groups = [[w for w in rack.workers.values() if w.is_open()] for rack in racks]
+    groups = [[w for w in rack.workers.values() if w.is_schedulable()] for rack in racks]
     if demand.adjacency is Adjacency.RACK:
         return groups[:RACKS_WEIGHED]
     return [[worker] for group in groups[:RACKS_WEIGHED] for worker in group]
@@ -58,12 +58,12 @@
     """Return the freest workers that, empty, would hold twice the demand."""
     workers = topology.index.accelerated if demand.accelerators else topology.workers
     ordered = sorted(
-        workers.values(), key=lambda w: (-w.free_accelerators, -w.free_slots, w.number)
+        workers.values(), key=lambda w: (-w.free_accelerators, -w.free_slots, w.join_number)
     )
     enough = []
     capacity = 0
     for worker in ordered:
-        if worker.is_open():
+        if worker.is_schedulable():
             enough.append(worker)
             capacity += capacity_for(worker.worker, demand)
         if capacity >= 2 * demand.members:
@@ -80,8 +80,8 @@
 ) -> Reservation | None:
     """Let the running work of these workers end in its likely order until the gang fits."""
     demand = request.demand
-    room: dict[str, Amount] = {worker.name: worker.vacant() for worker in workers}
-    fits = {name: amount.room_for(demand) for name, amount in room.items()}
+    room: dict[str, Amount] = {worker.name: worker.free_including_pending() for worker in workers}
+    fits = {name: amount.fitting_members(demand) for name, amount in room.items()}
     total = sum(fits.values())
     start_ms = now_ms
     for end_ms, request_id in _ends(topology, estimates, workers, now_ms):
@@ -91,7 +91,7 @@
         for name in allocation.counts.keys() & room.keys():
             room[name].add(allocation.request.demand, allocation.counts[name])
             total -= fits[name]
-            fits[name] = room[name].room_for(demand)
+            fits[name] = room[name].fitting_members(demand)
             total += fits[name]
         start_ms = end_ms
     if total < demand.members:
@@ -103,7 +103,7 @@
 def _ends(
     topology: Topology, estimates: Estimates, workers: list[WorkerState], now_ms: int
 ) -> list[tuple[int, str]]:
-    ids = {request_id for worker in workers for request_id in worker.requests}
+    ids = {request_id for worker in workers for request_id in worker.request_ids}
     ends = []
     for request_id in ids:
         allocation = topology.allocations[request_id]
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/admission.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/admission.py
@@ -70,19 +70,19 @@
         failed = self._zone.health.avoided(request.request_id)
         if not failed:
             return False
-        seen = self._zone.topology.seen
+        seen = self._zone.topology.known_workers
         left = [worker for name, worker in seen.items() if name not in failed]
         return why_infeasible(request.demand, left) is not None
 
     def _why_infeasible(self, demand: Demand) -> str | None:
         topology = self._zone.topology
-        if not topology.seen:
+        if not topology.known_workers:
             return None
-        if self._joined != topology.joined:
+        if self._joined != topology.join_count:
             self._verdicts.clear()
-            self._joined = topology.joined
+            self._joined = topology.join_count
         if demand not in self._verdicts:
-            self._verdicts[demand] = why_infeasible(demand, topology.seen.values())
+            self._verdicts[demand] = why_infeasible(demand, topology.known_workers.values())
         return self._verdicts[demand]
 
     def _is_late(self, request: PendingRequest, now_ms: int) -> bool:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/baseline.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/baseline.py
@@ -72,7 +72,7 @@
             case WorkerLeaving(name=name):
                 self.topology.drain(name)
             case WorkerLost(name=name):
-                self.topology.lose(name)
+                self.topology.remove_worker(name)
             case TeamsChanged(teams=teams):
                 self._teams = {team.name: team for team in teams}
             case ConfigChanged(config=config):
@@ -82,8 +82,8 @@
     def _admit(self, request: PendingRequest) -> list[Decision]:
         if request.team not in self._teams:
             return [Reject(request.request_id, RejectReason.UNKNOWN_TEAM, request.team)]
-        reason = why_infeasible(request.demand, self.topology.seen.values())
-        if self.topology.seen and reason is not None:
+        reason = why_infeasible(request.demand, self.topology.known_workers.values())
+        if self.topology.known_workers and reason is not None:
             return [Reject(request.request_id, RejectReason.INFEASIBLE, reason)]
         self._queue[request.request_id] = request
         return []
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
@@ -31,7 +31,7 @@
         layout = self._zone.layout
         candidates = []
         for state in self._cell_workers(request):
-            room = min(state.room_for(demand), layout.room_own(request.team, state, demand))
+            room = min(state.fitting_members(demand), layout.room_own(request.team, state, demand))
             if room:
                 candidates.append(self._candidate(state, room, demand))
         return choose(candidates, demand)
@@ -47,11 +47,11 @@
         kept = self._reservation_against(request)
         candidates = []
         for state in self._open(request, searched):
-            room = state.room_for(demand)
+            room = state.fitting_members(demand)
             if not room or (kept is not None and kept.keeps_out(state.name, ends_ms)):
                 continue
             if not request.preemptible:
-                room = min(room, self._zone.layout.slack(state).room_for(demand))
+                room = min(room, self._zone.layout.slack(state).fitting_members(demand))
             if room:
                 candidates.append(self._candidate(state, room, demand))
                 if len(candidates) >= CANDIDATES_FOR_ONE and demand.members == 1:
@@ -85,7 +85,9 @@
         rooms = {}
         for state in self._cell_workers(request):
             own = layout.room_own(request.team, state, demand)
-            room = min(own, state.after_reclaim(urgent_too=True).room_for(demand))
+            room = min(
+                own, state.free_after_preemption(include_urgent=True).fitting_members(demand)
+            )
             if room:
                 rooms[state.name] = room
         return self._cheapest(demand, rooms, lambda allocation: True, now_ms)
@@ -99,11 +101,11 @@
         rooms = {}
         for name in names:
             state = self._zone.topology.workers.get(name)
-            if state is None or not state.is_open() or name in avoided:
+            if state is None or not state.is_schedulable() or name in avoided:
                 continue
-            room = state.after_reclaim(urgent_too=False).room_for(demand)
+            room = state.free_after_preemption(include_urgent=False).fitting_members(demand)
             if not request.preemptible:
-                room = min(room, self._zone.layout.slack(state).room_for(demand))
+                room = min(room, self._zone.layout.slack(state).fitting_members(demand))
             if room:
                 rooms[name] = room
         return self._cheapest(demand, self._shortlist(demand, rooms), allowed, now_ms)
@@ -189,8 +191,8 @@
         places = {state.name: first}
         missing = cell.accelerators - first
         rack = self._zone.topology.racks[state.worker.rack]
-        others = [w for w in rack.workers.values() if w.is_open() and w.name != state.name]
-        for other in sorted(others, key=lambda w: (-w.free_accelerators, w.number)):
+        others = [w for w in rack.workers.values() if w.is_schedulable() and w.name != state.name]
+        for other in sorted(others, key=lambda w: (-w.free_accelerators, w.join_number)):
             taken = min(max(other.free_accelerators, 0), missing)
             if taken:
                 places[other.name] = taken
@@ -201,7 +203,7 @@
         avoided = self._zone.health.avoided(request.request_id)
         for name in self._zone.layout.team_laid[request.team]:
             state = self._zone.topology.workers.get(name)
-            if state is not None and state.is_open() and name not in avoided:
+            if state is not None and state.is_schedulable() and name not in avoided:
                 yield state
 
     def _open(self, request: PendingRequest, searched: int) -> Iterator[WorkerState]:
@@ -210,18 +212,18 @@
         for state in self._changed(request.demand, searched):
             if state.free_slots <= 0 or state.free_accelerators < wanted:
                 continue
-            if state.is_open() and state.name not in avoided:
+            if state.is_schedulable() and state.name not in avoided:
                 yield state
 
     def _changed(self, demand: Demand, searched: int) -> Iterable[WorkerState]:
         """Return the workers that may have room now and had none at the mark."""
         topology = self._zone.topology
-        names = None if searched < 0 else topology.freed.since(searched)
+        names = None if searched < 0 else topology.freed_log.since(searched)
         if names is None or (demand.members > 1 and demand.adjacency is Adjacency.ANY and names):
             return (
                 topology.index.accelerated.values()
                 if demand.accelerators
-                else (topology.index.with_slots())
+                else (topology.index.with_free_slots())
             )
         states = [topology.workers[name] for name in names if name in topology.workers]
         if demand.members == 1 or demand.adjacency is Adjacency.WORKER:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/moving.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/moving.py
@@ -39,7 +39,7 @@
         request = move.allocation.request
         self._hold(request, move.counts, now_ms)
         self._moved_ms[request.request_id] = now_ms
-        self._zone.topology.change(move.allocation, stopping=True)
+        self._zone.topology.update_allocation(move.allocation, stopping=True)
         by_ms = now_ms + 2 * CHECKPOINT_COST_MS
         return [Preempt(request.request_id, request.request_id, by_ms)]
 
@@ -74,6 +74,6 @@
 
     def _is_vacant(self, request: PendingRequest, name: str, members: int) -> bool:
         state = self._zone.topology.workers.get(name)
-        if state is None or not state.is_open():
+        if state is None or not state.is_schedulable():
             return False
-        return state.vacant().room_for(request.demand) >= members
+        return state.free_including_pending().fitting_members(request.demand) >= members
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
@@ -33,7 +33,7 @@
             self._zone.claims.remove(claim.request_id)
             allocation = claim.allocation
             allocation.started_ms = now_ms
-            self._zone.topology.change(allocation, pending=False)
+            self._zone.topology.update_allocation(allocation, pending=False)
             decisions.append(Start(claim.request_id, allocation.assignments))
         return decisions
 
@@ -109,7 +109,7 @@
         self._zone.claims.add(Claim(allocation, by_ms))
         decisions: list[Decision] = []
         for victim in plan.victims:
-            self._zone.topology.change(victim, stopping=True)
+            self._zone.topology.update_allocation(victim, stopping=True)
             decisions.append(Preempt(victim.request.request_id, request.request_id, by_ms))
         return decisions + self.start_ready(now_ms)
 
@@ -122,8 +122,8 @@
         topology = self._zone.topology
         wanted = request.demand.accelerators > 0
         pool = topology.index.accelerated if wanted else topology.workers
-        states = [w for w in pool.values() if w.borrowed.slots > 0 and w.is_open()]
-        states.sort(key=lambda w: (w.worker.accelerators, -w.borrowed.slots, w.number))
+        states = [w for w in pool.values() if w.borrowed.slots > 0 and w.is_schedulable()]
+        states.sort(key=lambda w: (w.worker.accelerators, -w.borrowed.slots, w.join_number))
         return [state.name for state in (states if wanted else states[:WORKERS_WEIGHED])]
 
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reserving.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reserving.py
@@ -43,9 +43,11 @@
     def _drop(self) -> None:
         """Let searches look again at the workers that were kept."""
         if self._zone.reservation is not None:
-            self._zone.topology.freed.add(sorted(self._zone.reservation.workers))
+            self._zone.topology.freed_log.add(sorted(self._zone.reservation.workers))
         self._zone.reservation = None
 
     def _is_broken(self, reservation: Reservation) -> bool:
         workers = self._zone.topology.workers
-        return not all(name in workers and workers[name].is_open() for name in reservation.workers)
+        return not all(
+            name in workers and workers[name].is_schedulable() for name in reservation.workers
+        )
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
@@ -95,14 +95,14 @@
                 zone.topology.drain(name)
                 self._close()
             case WorkerLost(name=name):
-                zone.topology.lose(name)
+                zone.topology.remove_worker(name)
                 self._close()
             case TeamsChanged(teams=teams):
                 zone.set_teams(teams)
-                zone.topology.touch()
+                zone.topology.invalidate_searches()
             case ConfigChanged(config=config):
                 zone.set_config(config)
-                zone.topology.touch()
+                zone.topology.invalidate_searches()
 
     def _queue(self, request: PendingRequest, now_ms: int) -> list[Decision]:
         if request.request_id in self.zone.topology.allocations:
@@ -150,7 +150,7 @@
         if state is None:
             return
         state.quarantined = not change.lifted
-        self.zone.topology.touch()
+        self.zone.topology.invalidate_searches()
         self._close()
 
     def _join(self, worker: Worker) -> None:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
@@ -128,7 +128,7 @@
         """Look within the team's cells, unless nothing changed there since the last search."""
         if not may_use_cells(self._zone, request):
             return None
-        freed = self._zone.topology.freed.since(group.searched) if group.searched >= 0 else None
+        freed = self._zone.topology.freed_log.since(group.searched) if group.searched >= 0 else None
         if freed is not None:
             own = self._zone.layout.team_laid[request.team]
             if not any(name in own for name in freed):
@@ -141,7 +141,7 @@
             return None
         free = self._find.free(request, now_ms, group.searched)
         if free is None:
-            group.searched = self._zone.topology.freed.mark()
+            group.searched = self._zone.topology.freed_log.end_position()
             where = "" if request.preemptible else " outside the guarantees of other teams"
             group.waits_for = f"{_wanted(request)} free at the same time{where}"
         return free
@@ -164,7 +164,7 @@
             request = group.head()
             small = request.demand.members == 1 and request.preemptible
             failed_there = worker in self._zone.health.avoided(request.request_id)
-            if small and not failed_there and state.room_for(request.demand):
+            if small and not failed_there and state.fitting_members(request.demand):
                 self._zone.health.probe_started(worker, request.request_id)
                 return [self._start(request, {worker: 1}, Backing.BORROWED, now_ms)]
         return []
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/amount.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/amount.py
@@ -43,7 +43,7 @@
         """Tell whether any part lies below zero."""
         return min(self.accelerators, self.slots, self.cpu, self.memory) < 0
 
-    def room_for(self, demand: Demand) -> int:
+    def fitting_members(self, demand: Demand) -> int:
         """Return how many members of the demand fit."""
         room = min(self.slots, demand.members)
         if demand.accelerators:
@@ -55,12 +55,12 @@
         return max(room, 0)
 
 
-def whole(worker: Worker) -> Amount:
+def total_resources(worker: Worker) -> Amount:
     """Return all that a worker gives."""
     return Amount(worker.accelerators, worker.slots, worker.cpu_cores, worker.memory_mb)
 
 
-def share(worker: Worker, accelerators: int) -> Amount:
+def proportional_resources(worker: Worker, accelerators: int) -> Amount:
     """Return what goes with so many of a worker's accelerators.
 
     Processor and memory go in proportion, and one slot goes with each accelerator. For example two
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/index.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/index.py
@@ -40,7 +40,7 @@
             del self._by_slots[slots][name]
         self.accelerated.pop(name, None)
 
-    def with_slots(self) -> Iterator[WorkerState]:
+    def with_free_slots(self) -> Iterator[WorkerState]:
         """Yield the workers with free slots, the fullest first."""
         for slots in sorted(self._by_slots):
             if slots > 0:
@@ -54,7 +54,7 @@
         self._names: list[str] = []
         self._base = 0
 
-    def mark(self) -> int:
+    def end_position(self) -> int:
         """Return the present end of the log."""
         return self._base + len(self._names)
 
@@ -66,9 +66,9 @@
             del self._names[:dropped]
             self._base += dropped
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Make every search look at all workers again."""
-        self._base = self.mark() + 1
+        self._base = self.end_position() + 1
         self._names.clear()
 
     def since(self, mark: int) -> list[str] | None:
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/state.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/state.py
@@ -52,15 +52,15 @@
     """
 
     worker: Worker
-    number: int
+    join_number: int
     free_accelerators: int = 0
     free_slots: int = 0
     free_cpu: int = 0
     free_memory: int = 0
     draining: bool = False
     quarantined: bool = False
-    requests: set[str] = field(default_factory=set)
-    promised: Amount = field(default_factory=Amount)
+    request_ids: set[str] = field(default_factory=set)
+    pending: Amount = field(default_factory=Amount)
     stopping: Amount = field(default_factory=Amount)
     borrowed: Amount = field(default_factory=Amount)
     borrowed_urgent: Amount = field(default_factory=Amount)
@@ -70,11 +70,11 @@
         """Return the worker's name."""
         return self.worker.name
 
-    def is_open(self) -> bool:
+    def is_schedulable(self) -> bool:
         """Tell whether new work may come here."""
         return not (self.draining or self.quarantined)
 
-    def room_for(self, demand: Demand) -> int:
+    def fitting_members(self, demand: Demand) -> int:
         """Return how many members of the demand fit into what is free now."""
         room = min(self.free_slots, demand.members)
         if demand.accelerators:
@@ -89,19 +89,19 @@
         """Return what is free and not promised."""
         return Amount(self.free_accelerators, self.free_slots, self.free_cpu, self.free_memory)
 
-    def vacant(self) -> Amount:
+    def free_including_pending(self) -> Amount:
         """Return what nothing runs on, promised or not."""
-        return self.free().plus(self.promised)
+        return self.free().plus(self.pending)
 
-    def after_reclaim(self, urgent_too: bool) -> Amount:
+    def free_after_preemption(self, include_urgent: bool) -> Amount:
         """Return what would be free if all that is borrowed were taken back."""
         amount = self.free().plus(self.stopping).plus(self.borrowed)
-        return amount.plus(self.borrowed_urgent) if urgent_too else amount
+        return amount.plus(self.borrowed_urgent) if include_urgent else amount
 
-    def book_for(self, allocation: Allocation) -> Amount | None:
+    def total_for(self, allocation: Allocation) -> Amount | None:
         """Return the sum that an allocation belongs to, if any."""
         if allocation.pending:
-            return self.promised
+            return self.pending
         if allocation.stopping:
             return self.stopping
         if allocation.backing is not Backing.BORROWED:
@@ -117,7 +117,7 @@
         self.free_cpu = self.worker.cpu_cores
         self.free_memory = self.worker.memory_mb
 
-    def take(self, demand: Demand, members: int) -> None:
+    def allocate(self, demand: Demand, members: int) -> None:
         """Take the share of so many members; a negative number gives it back."""
         self.free_accelerators -= demand.accelerators * members
         self.free_slots -= members
@@ -137,6 +137,6 @@
 
 def capacity_for(worker: Worker, demand: Demand) -> int:
     """Return how many members of the demand an empty worker holds."""
-    empty = WorkerState(worker=worker, number=0)
+    empty = WorkerState(worker=worker, join_number=0)
     empty.reset()
-    return empty.room_for(demand)
+    return empty.fitting_members(demand)
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/topology.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/topology.py
@@ -10,34 +10,35 @@
 class Topology:
     """Keep the workers and allocations of one zone.
 
-    `version` grows whenever room may have grown. `seen` also holds workers that were lost, so that
-    a demand is called infeasible only when the zone never had the machines for it.
+    `version` increases whenever free resources may have increased. `known_workers` also contains
+    workers that were lost, so that a demand is called infeasible only when the zone never had the
+    hosts for it.
     """
 
     def __init__(self, zone: str) -> None:
         self.zone = zone
         self.racks: dict[str, RackState] = {}
         self.workers: dict[str, WorkerState] = {}
-        self.seen: dict[str, Worker] = {}
+        self.known_workers: dict[str, Worker] = {}
         self.allocations: dict[str, Allocation] = {}
         self.version = 0
-        self.joined = 0
+        self.join_count = 0
         self.accelerators = 0
         self.slots = 0
         self.free_slots = 0
         self.free_accelerators = 0
         self.index = WorkerIndex()
-        self.freed = FreedLog()
+        self.freed_log = FreedLog()
 
     def join(self, worker: Worker) -> bool:
         """Add a worker or take its new size over; return whether it belongs to this zone."""
         if worker.zone != self.zone:
             return False
-        self.lose(worker.name)
-        self.seen[worker.name] = worker
+        self.remove_worker(worker.name)
+        self.known_workers[worker.name] = worker
         self.version += 1
-        self.joined += 1
-        state = WorkerState(worker=worker, number=self.joined)
+        self.join_count += 1
+        state = WorkerState(worker=worker, join_number=self.join_count)
         state.reset()
         self.workers[worker.name] = state
         rack = self.racks.setdefault(worker.rack, RackState(name=worker.rack))
@@ -50,7 +51,7 @@
         self.free_slots += state.free_slots
         self.free_accelerators += state.free_accelerators
         self.index.put(state)
-        self.freed.forget()
+        self.freed_log.invalidate()
         return True
 
     def drain(self, name: str) -> None:
@@ -58,7 +59,7 @@
         if name in self.workers:
             self.workers[name].draining = True
 
-    def lose(self, name: str) -> None:
+    def remove_worker(self, name: str) -> None:
         """Forget a worker; its allocations stay until their ends are reported."""
         state = self.workers.pop(name, None)
         if state is None:
@@ -85,10 +86,10 @@
         allocation = self.allocations.pop(request_id, None)
         if allocation is not None:
             self._take(allocation, -1)
-            self.freed.add(allocation.counts)
+            self.freed_log.add(allocation.counts)
         return allocation
 
-    def change(
+    def update_allocation(
         self,
         allocation: Allocation,
         backing: Backing | None = None,
@@ -102,21 +103,21 @@
         allocation.pending = allocation.pending if pending is None else pending
         self._book(allocation, 1)
 
-    def touch(self) -> None:
+    def invalidate_searches(self) -> None:
         """Make every search look at all workers again."""
         self.version += 1
-        self.freed.forget()
+        self.freed_log.invalidate()
 
-    def open_workers(self) -> Iterator[WorkerState]:
+    def schedulable_workers(self) -> Iterator[WorkerState]:
         """Yield the workers that may be given work, in the order in which they joined."""
-        return (state for state in self.workers.values() if state.is_open())
+        return (state for state in self.workers.values() if state.is_schedulable())
 
     def _book(self, allocation: Allocation, sign: int) -> None:
         for name, members in allocation.counts.items():
             state = self.workers.get(name)
             if state is None:
                 continue
-            book = state.book_for(allocation)
+            book = state.total_for(allocation)
             if book is not None:
                 book.add(allocation.request.demand, sign * members)
 
@@ -128,25 +129,25 @@
             state = self.workers.get(name)
             if state is None:
                 continue
-            state.take(demand, sign * members)
+            state.allocate(demand, sign * members)
             self.free_slots -= sign * members
             self.free_accelerators -= sign * members * demand.accelerators
             self.index.put(state)
             rack = self.racks[state.worker.rack]
             rack.free_accelerators -= sign * members * demand.accelerators
             if sign > 0:
-                state.requests.add(allocation.request.request_id)
+                state.request_ids.add(allocation.request.request_id)
             else:
-                state.requests.discard(allocation.request.request_id)
+                state.request_ids.discard(allocation.request.request_id)
 
     def _retake(self, state: WorkerState, rack: RackState) -> None:
         for request_id, allocation in self.allocations.items():
             members = allocation.counts.get(state.name, 0)
             if members == 0:
                 continue
-            state.take(allocation.request.demand, members)
-            book = state.book_for(allocation)
+            state.allocate(allocation.request.demand, members)
+            book = state.total_for(allocation)
             if book is not None:
                 book.add(allocation.request.demand, members)
             rack.free_accelerators -= members * allocation.request.demand.accelerators
-            state.requests.add(request_id)
+            state.request_ids.add(request_id)
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/cluster.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/cluster.py
@@ -9,7 +9,7 @@
 
 from agateferry_core.demand import Adjacency, Assignment, Demand, Urgency, Worker
 from agateferry_scheduling.scheduler.messages import PendingRequest
-from agateferry_scheduling.topology.amount import Amount, whole
+from agateferry_scheduling.topology.amount import Amount, total_resources
 
 
 class BrokenInvariant(AssertionError):  # noqa: N818
@@ -41,7 +41,7 @@
     def join(self, worker: Worker) -> None:
         """Add an empty worker."""
         self.workers[worker.name] = worker
-        self.free[worker.name] = whole(worker)
+        self.free[worker.name] = total_resources(worker)
         self.leaving.discard(worker.name)
 
     def lose(self, name: str) -> list[str]:
@@ -91,7 +91,7 @@
                 if name in fixed:
                     fixed[name].add(run.request.demand, members)
         return any(
-            whole(worker).minus(fixed[name]).room_for(demand) >= demand.members
+            total_resources(worker).minus(fixed[name]).fitting_members(demand) >= demand.members
             for name, worker in self.workers.items()
         )
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/meter.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/meter.py
@@ -11,7 +11,7 @@
     SchedulingConfig,
     Team,
 )
-from agateferry_scheduling.topology.amount import share
+from agateferry_scheduling.topology.amount import proportional_resources
 from agateferry_scheduling.traces.cluster import Cluster, Run
 from agateferry_scheduling.traces.report import Report, Sample, spread
 
@@ -223,7 +223,7 @@
     def _has_ordinary_parts(self, demand: Demand) -> bool:
         """Tell whether processor and memory stay within what comes with the accelerators."""
         parts = [
-            share(worker, demand.accelerators)
+            proportional_resources(worker, demand.accelerators)
             for worker in self.cluster.workers.values()
             if worker.accelerators >= demand.accelerators
         ]
