--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
@@ -14,7 +14,9 @@
 ShapeCounts = Counter[tuple[str, int, Adjacency]]
 
 
-def broken_guarantee(topology: Topology, layout: Layout, teams: Iterable[Team]) -> str | None:
+def find_guarantee_violation(
+    topology: Topology, layout: Layout, teams: Iterable[Team]
+) -> str | None:
     """Return how the guarantee invariant is broken, or None when it holds.
 
     Cells that the layout itself calls missing are passed over: that is a guarantee at risk, told
@@ -23,8 +25,8 @@
     if _wanted(teams) != Counter(_kind(cell) for cell in layout.cells):
         return "the cells are not the teams' guaranteed shapes"
     for cell in layout.cells:
-        if cell.places and not _is_shaped(cell, topology):
-            return f"a cell of {cell.team} does not have its shape: {cell.places}"
+        if cell.placement and not _is_shaped(cell, topology):
+            return f"a cell of {cell.team} does not have its shape: {cell.placement}"
     return _overlap(topology, layout)
 
 
@@ -42,12 +44,12 @@
 
 def _is_shaped(cell: Cell, topology: Topology) -> bool:
     workers: list[Worker] = []
-    for name in cell.places:
+    for name in cell.placement:
         state = topology.workers.get(name)
         if state is None or not state.is_schedulable():
             return False
         workers.append(state.worker)
-    if sum(cell.places.values()) != cell.accelerators:
+    if sum(cell.placement.values()) != cell.accelerators:
         return False
     if cell.adjacency is Adjacency.WORKER:
         return len(workers) == 1
@@ -57,12 +59,12 @@
 
 
 def _overlap(topology: Topology, layout: Layout) -> str | None:
-    laid: Counter[str] = Counter()
-    team_laid: Counter[tuple[str, str]] = Counter()
+    in_cells: Counter[str] = Counter()
+    cells_by_team: Counter[tuple[str, str]] = Counter()
     for cell in layout.cells:
-        for name, count in cell.places.items():
-            laid[name] += count
-            team_laid[(cell.team, name)] += count
+        for name, count in cell.placement.items():
+            in_cells[name] += count
+            cells_by_team[(cell.team, name)] += count
     pinned: Counter[str] = Counter()
     own: dict[tuple[str, str], int] = defaultdict(int)
     for allocation in topology.allocations.values():
@@ -76,9 +78,9 @@
             elif not request.preemptible:
                 return f"{request.request_id} is borrowed but cannot be taken back"
     for (team, name), taken in own.items():
-        if name in topology.workers and taken > team_laid[(team, name)]:
+        if name in topology.workers and taken > cells_by_team[(team, name)]:
             return f"guaranteed work of {team} lies outside its cells on {name}"
-    for name, count in laid.items():
+    for name, count in in_cells.items():
         if count + pinned[name] > topology.workers[name].worker.accelerators:
             return f"cells and pinned work overlap on {name}"
     return None
--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
@@ -25,7 +25,7 @@
     team: str
     accelerators: int
     adjacency: Adjacency
-    places: dict[str, int] = field(default_factory=dict)
+    placement: dict[str, int] = field(default_factory=dict)
 
 
 class Layout:
@@ -37,10 +37,10 @@
     def __init__(self, topology: Topology) -> None:
         self.topology = topology
         self.cells: list[Cell] = []
-        self.laid: dict[str, int] = defaultdict(int)
-        self.team_laid: dict[str, dict[str, int]] = defaultdict(dict)
-        self.own: dict[str, dict[str, Amount]] = defaultdict(dict)
-        self.pinned: dict[str, Amount] = {}
+        self.cell_accelerators: dict[str, int] = defaultdict(int)
+        self.team_cell_accelerators: dict[str, dict[str, int]] = defaultdict(dict)
+        self.guaranteed_use: dict[str, dict[str, Amount]] = defaultdict(dict)
+        self.pinned_use: dict[str, Amount] = {}
 
     def set_teams(self, teams: tuple[Team, ...]) -> None:
         """Make the cells anew for this list of teams, largest and most adjacent first."""
@@ -51,13 +51,13 @@
             for _ in range(shape.count)
         ]
         self.cells.sort(key=lambda cell: (-cell.accelerators, STRICTNESS[cell.adjacency]))
-        self.adopt_all()
+        self.adopt_running_allocations()
 
     def missing(self) -> tuple[str, ...]:
         """Return the teams whose shapes cannot all be laid out now."""
-        return tuple(sorted({cell.team for cell in self.cells if not cell.places}))
+        return tuple(sorted({cell.team for cell in self.cells if not cell.placement}))
 
-    def adopt_all(self) -> None:
+    def adopt_running_allocations(self) -> None:
         """Lay the cells around what runs already, and count as guaranteed what they cover.
 
         It serves a scheduler that has just begun, and a list of teams that changed.
@@ -68,36 +68,36 @@
             may_use = request.demand.accelerators > 0 or not request.preemptible
             if request.team in teams and may_use and not allocation.pending:
                 self._recount(allocation, Backing.GUARANTEED)
-        self.lay_all()
+        self.place_all_cells()
 
-    def lay_all(self) -> None:
+    def place_all_cells(self) -> None:
         """Lay every cell out anew, first around the team's own guaranteed work."""
-        self.laid.clear()
-        self.team_laid.clear()
+        self.cell_accelerators.clear()
+        self.team_cell_accelerators.clear()
         for cell in self.cells:
-            cell.places = {}
+            cell.placement = {}
         self._settle()
 
     def refresh(self) -> None:
         """Take cells off workers that are gone or closed and lay them out elsewhere."""
         self._settle()
         if self.missing():
-            self.lay_all()
+            self.place_all_cells()
 
-    def lay(self, cell: Cell) -> bool:
+    def place_cell(self, cell: Cell) -> bool:
         """Lay a cell where there is room outside other cells and pinned work, if anywhere."""
         for places in self._options(cell):
             self._put(cell, places)
             return True
         return False
 
-    def room_own(self, team: str, state: WorkerState, demand: Demand) -> int:
+    def fitting_in_cells(self, team: str, state: WorkerState, demand: Demand) -> int:
         """Return how many members fit into the team's cells on a worker beside its own work."""
-        laid = self.team_laid[team].get(state.name, 0)
+        laid = self.team_cell_accelerators[team].get(state.name, 0)
         if laid == 0:
             return 0
         within = proportional_resources(state.worker, laid)
-        used = self.own[team].get(state.name)
+        used = self.guaranteed_use[team].get(state.name)
         if used is not None:
             within = within.minus(used)
         return within.fitting_members(demand)
@@ -105,18 +105,18 @@
     def slack(self, state: WorkerState) -> Amount:
         """Return what no cell and no pinned work takes on a worker."""
         left = total_resources(state.worker).minus(
-            proportional_resources(state.worker, self.laid.get(state.name, 0))
+            proportional_resources(state.worker, self.cell_accelerators.get(state.name, 0))
         )
-        pinned = self.pinned.get(state.name)
+        pinned = self.pinned_use.get(state.name)
         return left.minus(pinned) if pinned is not None else left
 
     def charge(self, allocation: Allocation, sign: int) -> None:
         """Count guaranteed or pinned work in (1) or out (-1)."""
         if allocation.backing is Backing.BORROWED:
             return
-        book = self.pinned
+        book = self.pinned_use
         if allocation.backing is Backing.GUARANTEED:
-            book = self.own[allocation.request.team]
+            book = self.guaranteed_use[allocation.request.team]
         for name, members in allocation.counts.items():
             amount = book.setdefault(name, Amount())
             amount.add(allocation.request.demand, sign * members)
@@ -125,25 +125,27 @@
 
     def is_movable(self, cell: Cell) -> bool:
         """Tell whether the team's own work is covered without this cell."""
-        for name, laid in cell.places.items():
-            used = self.own[cell.team].get(name)
+        for name, laid in cell.placement.items():
+            used = self.guaranteed_use[cell.team].get(name)
             if used is None:
                 continue
             state = self.topology.workers[name]
-            rest = proportional_resources(state.worker, self.team_laid[cell.team][name] - laid)
+            rest = proportional_resources(
+                state.worker, self.team_cell_accelerators[cell.team][name] - laid
+            )
             if rest.minus(used).is_negative():
                 return False
         return True
 
     def move(self, cell: Cell, places: dict[str, int]) -> bool:
         """Move a cell to another place, or swap it with another team's equal cell there."""
-        before = cell.places
+        before = cell.placement
         self._lift(cell)
         if all(self._takes(name, count) for name, count in places.items()):
             self._put(cell, places)
             return True
         for other in self.cells:
-            if other.places == places and other.team != cell.team and self.is_movable(other):
+            if other.placement == places and other.team != cell.team and self.is_movable(other):
                 self._lift(other)
                 self._put(cell, places)
                 self._put(other, before)
@@ -151,16 +153,16 @@
         self._put(cell, before)
         return False
 
-    def places(self) -> list[dict[str, int]]:
-        """Return where each cell lies, for `put_back`."""
-        return [cell.places for cell in self.cells]
+    def placements(self) -> list[dict[str, int]]:
+        """Return where each cell lies, for `restore_placements`."""
+        return [cell.placement for cell in self.cells]
 
-    def put_back(self, places: list[dict[str, int]]) -> None:
+    def restore_placements(self, places: list[dict[str, int]]) -> None:
         """Undo all moves since `places` was called."""
         changed = [
             (cell, before)
             for cell, before in zip(self.cells, places, strict=True)
-            if cell.places is not before
+            if cell.placement is not before
         ]
         for cell, _ in changed:
             self._lift(cell)
@@ -187,12 +189,14 @@
 
     def _options(self, cell: Cell) -> list[dict[str, int]]:
         """Return the best place for a cell, in a list that is empty when there is none."""
-        own = self.own[cell.team]
+        own = self.guaranteed_use[cell.team]
         rooms: dict[str, list[tuple[bool, int, int, str]]] = defaultdict(list)
         for state in self.topology.index.accelerated.values():
             room = self._room(cell, state) if state.is_schedulable() else 0
             if room:
-                uncovered = state.name in own and not self.team_laid[cell.team].get(state.name)
+                uncovered = state.name in own and not self.team_cell_accelerators[cell.team].get(
+                    state.name
+                )
                 rooms[state.worker.rack].append(
                     (not uncovered, room, state.join_number, state.name)
                 )
@@ -221,22 +225,22 @@
         return places
 
     def _put(self, cell: Cell, places: dict[str, int]) -> None:
-        cell.places = places
+        cell.placement = places
         self.topology.freed_log.add(places)
-        team = self.team_laid[cell.team]
+        team = self.team_cell_accelerators[cell.team]
         for name, count in places.items():
-            self.laid[name] += count
+            self.cell_accelerators[name] += count
             team[name] = team.get(name, 0) + count
 
     def _lift(self, cell: Cell) -> None:
-        team = self.team_laid[cell.team]
-        for name, count in cell.places.items():
-            self.laid[name] -= count
+        team = self.team_cell_accelerators[cell.team]
+        for name, count in cell.placement.items():
+            self.cell_accelerators[name] -= count
             team[name] -= count
             if team[name] == 0:
                 del team[name]
-        self.topology.freed_log.add(cell.places)
-        cell.places = {}
+        self.topology.freed_log.add(cell.placement)
+        cell.placement = {}
 
     def _holds(self, name: str) -> bool:
         """Tell whether a worker is open and large enough for what is laid on it."""
@@ -244,14 +248,14 @@
         return state is not None and state.is_schedulable() and not self.slack(state).is_negative()
 
     def _covers(self, team: str, name: str) -> bool:
-        used = self.own[team].get(name)
+        used = self.guaranteed_use[team].get(name)
         if used is None:
             return True
         state = self.topology.workers.get(name)
         if state is None:
             return False
         return (
-            not proportional_resources(state.worker, self.team_laid[team].get(name, 0))
+            not proportional_resources(state.worker, self.team_cell_accelerators[team].get(name, 0))
             .minus(used)
             .is_negative()
         )
@@ -259,17 +263,17 @@
     def _settle(self) -> None:
         """Lay out what is not, and demote guaranteed work without a cell, until nothing changes."""
         for cell in self.cells:
-            if not all(self._holds(name) for name in cell.places):
+            if not all(self._holds(name) for name in cell.placement):
                 self._lift(cell)
         for cell in self.cells:
-            if not cell.places:
-                self.lay(cell)
+            if not cell.placement:
+                self.place_cell(cell)
         if self._demote_uncovered():
             self._settle()
 
     def _demote_uncovered(self) -> bool:
         """Count guaranteed work without a cell as borrowed or pinned, the newest first."""
-        pairs = [(team, name) for team, book in self.own.items() for name in book]
+        pairs = [(team, name) for team, book in self.guaranteed_use.items() for name in book]
         bare = {(team, name) for team, name in pairs if not self._covers(team, name)}
         if not bare:
             return False
--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/tests/test_layout.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/tests/test_layout.py
@@ -1,7 +1,7 @@
 import testtools
 
 from agateferry_core.demand import Adjacency, Demand, Shape, Worker
-from agateferry_scheduling.guarantees.check import broken_guarantee
+from agateferry_scheduling.guarantees.check import find_guarantee_violation
 from agateferry_scheduling.guarantees.layout import Layout
 from agateferry_scheduling.scheduler.messages import Team
 from agateferry_scheduling.topology import Topology
@@ -18,13 +18,13 @@
     def set_teams(self, *teams):
         self.teams = teams
         self.layout.set_teams(teams)
-        self.assertIs(None, broken_guarantee(self.topology, self.layout, teams))
+        self.assertIs(None, find_guarantee_violation(self.topology, self.layout, teams))
 
     def test_shapes_of_all_teams_are_laid_out_at_once(self):
         rack = Shape(16, Adjacency.RACK)
         self.set_teams(Team("a", (Shape(8, count=2),)), Team("b", (rack,)))
         self.assertEqual((), self.layout.missing())
-        self.assertEqual(32, sum(self.layout.laid.values()))
+        self.assertEqual(32, sum(self.layout.cell_accelerators.values()))
 
     def test_what_does_not_fit_is_missing(self):
         self.set_teams(Team("a", (Shape(16, Adjacency.RACK, 2),)), Team("b", (Shape(1),)))
@@ -33,28 +33,28 @@
     def test_cells_leave_lost_workers(self):
         self.set_teams(Team("a", (Shape(8),)))
         [cell] = self.layout.cells
-        [name] = cell.places
+        [name] = cell.placement
         self.topology.remove_worker(name)
         self.layout.refresh()
-        self.assertNotIn(name, cell.places)
-        self.assertIs(None, broken_guarantee(self.topology, self.layout, self.teams))
+        self.assertNotIn(name, cell.placement)
+        self.assertIs(None, find_guarantee_violation(self.topology, self.layout, self.teams))
 
     def test_equal_cells_of_two_teams_swap(self):
         self.set_teams(Team("a", (Shape(8, count=2),)), Team("b", (Shape(8, count=2),)))
         mine = next(c for c in self.layout.cells if c.team == "a")
         theirs = next(c for c in self.layout.cells if c.team == "b")
-        place = dict(theirs.places)
+        place = dict(theirs.placement)
         self.assertTrue(self.layout.move(mine, place))
-        self.assertEqual(place, mine.places)
-        self.assertIs(None, broken_guarantee(self.topology, self.layout, self.teams))
+        self.assertEqual(place, mine.placement)
+        self.assertIs(None, find_guarantee_violation(self.topology, self.layout, self.teams))
 
     def test_room_within_cells_comes_with_its_share_of_the_worker(self):
         self.set_teams(Team("a", (Shape(4),)))
-        [name] = self.layout.cells[0].places
+        [name] = self.layout.cells[0].placement
         state = self.topology.workers[name]
-        self.assertEqual(4, self.layout.room_own("a", state, Demand(8, 1, 4, 100)))
-        self.assertEqual(2, self.layout.room_own("a", state, Demand(8, 1, 8, 100)))
-        self.assertEqual(0, self.layout.room_own("b", state, Demand(1, 1, 1, 100)))
+        self.assertEqual(4, self.layout.fitting_in_cells("a", state, Demand(8, 1, 4, 100)))
+        self.assertEqual(2, self.layout.fitting_in_cells("a", state, Demand(8, 1, 8, 100)))
+        self.assertEqual(0, self.layout.fitting_in_cells("b", state, Demand(1, 1, 1, 100)))
 
 
 class BrokenGuaranteeTests(testtools.TestCase):
@@ -64,8 +64,8 @@
         teams = (Team("a", (Shape(4),)), Team("b", (Shape(4),)))
         layout = Layout(topology)
         layout.set_teams(teams)
-        layout.cells[0].places = {"w0": 5}
-        self.assertIn("shape", broken_guarantee(topology, layout, teams))
-        layout.cells[0].places = {"w0": 4}
+        layout.cells[0].placement = {"w0": 5}
+        self.assertIn("shape", find_guarantee_violation(topology, layout, teams))
+        layout.cells[0].placement = {"w0": 4}
         layout.cells[1].team = "a"
-        self.assertIn("guaranteed shapes", broken_guarantee(topology, layout, teams))
+        self.assertIn("guaranteed shapes", find_guarantee_violation(topology, layout, teams))
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
@@ -31,7 +31,9 @@
         layout = self._zone.layout
         candidates = []
         for state in self._cell_workers(request):
-            room = min(state.fitting_members(demand), layout.room_own(request.team, state, demand))
+            room = min(
+                state.fitting_members(demand), layout.fitting_in_cells(request.team, state, demand)
+            )
             if room:
                 candidates.append(self._candidate(state, room, demand))
         return choose(candidates, demand)
@@ -61,10 +63,10 @@
     def cover(self, request: PendingRequest, counts: Counts) -> bool:
         """Move the team's unused cells onto these workers, or none if they cannot cover it."""
         layout = self._zone.layout
-        before = layout.places()
+        before = layout.placements()
         covered = self._bring_cells(request, counts)
         if not covered:
-            layout.put_back(before)
+            layout.restore_placements(before)
         return covered
 
     def _bring_cells(self, request: PendingRequest, counts: Counts) -> bool:
@@ -72,11 +74,11 @@
         demand = request.demand
         states = [(self._zone.topology.workers[name], n) for name, n in counts.items()]
         for state, members in states:
-            if layout.room_own(request.team, state, demand) >= members:
+            if layout.fitting_in_cells(request.team, state, demand) >= members:
                 continue
             if not self._bring_cell(request, state, demand.accelerators * members):
                 return False
-        return all(layout.room_own(request.team, s, demand) >= n for s, n in states)
+        return all(layout.fitting_in_cells(request.team, s, demand) >= n for s, n in states)
 
     def reclaim(self, request: PendingRequest, now_ms: int) -> tuple[Counts, Plan] | None:
         """Return workers within the team's cells, and what to stop there."""
@@ -84,7 +86,7 @@
         layout = self._zone.layout
         rooms = {}
         for state in self._cell_workers(request):
-            own = layout.room_own(request.team, state, demand)
+            own = layout.fitting_in_cells(request.team, state, demand)
             room = min(
                 own, state.free_after_preemption(include_urgent=True).fitting_members(demand)
             )
@@ -172,7 +174,7 @@
     def _bring_cell(self, request: PendingRequest, state: WorkerState, wanted: int) -> bool:
         layout = self._zone.layout
         for cell in layout.cells:
-            if cell.team != request.team or not cell.places or state.name in cell.places:
+            if cell.team != request.team or not cell.placement or state.name in cell.placement:
                 continue
             if cell.accelerators < wanted or not layout.is_movable(cell):
                 continue
@@ -201,7 +203,7 @@
 
     def _cell_workers(self, request: PendingRequest) -> Iterator[WorkerState]:
         avoided = self._zone.health.avoided(request.request_id)
-        for name in self._zone.layout.team_laid[request.team]:
+        for name in self._zone.layout.team_cell_accelerators[request.team]:
             state = self._zone.topology.workers.get(name)
             if state is not None and state.is_schedulable() and name not in avoided:
                 yield state
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
@@ -129,7 +129,7 @@
 
 def may_use_cells(zone: ZoneState, request: PendingRequest) -> bool:
     """Tell whether a request is of the kind that its team's cells are for."""
-    has_cells = bool(zone.layout.team_laid[request.team])
+    has_cells = bool(zone.layout.team_cell_accelerators[request.team])
     return has_cells and (request.demand.accelerators > 0 or not request.preemptible)
 
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
@@ -130,7 +130,7 @@
             return None
         freed = self._zone.topology.freed_log.since(group.searched) if group.searched >= 0 else None
         if freed is not None:
-            own = self._zone.layout.team_laid[request.team]
+            own = self._zone.layout.team_cell_accelerators[request.team]
             if not any(name in own for name in freed):
                 return None
         return self._find.within_cells(request)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
@@ -88,11 +88,11 @@
 class CoverTests(testtools.TestCase):
     def test_a_gang_that_its_cells_cannot_cover_leaves_them_in_place(self):
         zone = scheduler(per_rack=3, teams=(team("a", (8,)), team("b", (8,))))
-        before = [dict(places) for places in zone.zone.layout.places()]
+        before = [dict(places) for places in zone.zone.layout.placements()]
         gang = request("x", members=2, accelerators=4, preemptible=False)
         pinned = request("y", members=2, accelerators=8, preemptible=False)
         self.assertEqual([], started(queue(zone, pinned)))
-        self.assertEqual(before, zone.zone.layout.places())
+        self.assertEqual(before, zone.zone.layout.placements())
         self.assertEqual(["x"], started(queue(zone, gang)))
 
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
@@ -90,7 +90,7 @@
         """Lay the guarantees around all that was adopted, once no more of it comes."""
         if self.adopting:
             self.adopting = False
-            self.layout.adopt_all()
+            self.layout.adopt_running_allocations()
 
     def note_start(self, team: str, now_ms: int) -> None:
         """Remember the times of a team's latest starts."""
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/replay.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/replay.py
@@ -12,7 +12,7 @@
 from itertools import count
 from pathlib import Path
 
-from agateferry_scheduling.guarantees.check import broken_guarantee
+from agateferry_scheduling.guarantees.check import find_guarantee_violation
 from agateferry_scheduling.scheduler.baseline import BaselineScheduler
 from agateferry_scheduling.scheduler.messages import (
     ConfigChanged,
@@ -329,7 +329,7 @@
         if not isinstance(self.scheduler, FairScheduler):
             return
         zone = self.scheduler.zone
-        fault = broken_guarantee(zone.topology, zone.layout, self.teams.values())
+        fault = find_guarantee_violation(zone.topology, zone.layout, self.teams.values())
         if fault is not None:
             raise BrokenInvariant(fault)
 
