--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/__init__.py
@@ -1,5 +1,11 @@
 """Which waiting request comes next."""
 
-from agateferry_scheduling.queueing.queue import Group, GroupKey, Queue, is_large, key_of
+from agateferry_scheduling.queueing.queue import (
+    RequestGroup,
+    RequestGroupKey,
+    Queue,
+    is_large,
+    group_key_of,
+)
 
-__all__ = ["Group", "GroupKey", "Queue", "is_large", "key_of"]
+__all__ = ["RequestGroup", "RequestGroupKey", "Queue", "is_large", "group_key_of"]
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/fairness.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/fairness.py
@@ -13,29 +13,29 @@
 
 
 @dataclass(slots=True)
-class Held:
+class TeamUsage:
     """The accelerators and slots that a team holds now."""
 
     accelerators: int = 0
     slots: int = 0
 
 
-class Shares:
+class TeamShares:
     """Count what each team holds, and order teams by it."""
 
     def __init__(self) -> None:
-        self.held: dict[str, Held] = {}
+        self.usage: dict[str, TeamUsage] = {}
         self.weights: dict[str, float] = {}
 
-    def change(self, team: str, demand: Demand, sign: int) -> None:
+    def charge(self, team: str, demand: Demand, sign: int) -> None:
         """Count a request in (1) or out (-1)."""
-        held = self.held.setdefault(team, Held())
+        held = self.usage.setdefault(team, TeamUsage())
         held.accelerators += sign * demand.members * demand.accelerators
         held.slots += sign * demand.members
 
-    def share(self, team: str, accelerators: int, slots: int) -> float:
+    def dominant_share(self, team: str, accelerators: int, slots: int) -> float:
         """Return a team's dominant share of so many accelerators and slots, by its weight."""
-        held = self.held.get(team)
+        held = self.usage.get(team)
         if held is None:
             return 0.0
         part = max(held.accelerators / max(accelerators, 1), held.slots / max(slots, 1))
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/queue.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/queue.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GroupKey:
+class RequestGroupKey:
     """What alike requests have in common."""
 
     team: str
@@ -29,17 +29,18 @@
 
 
 @dataclass(slots=True)
-class Group:
-    """Alike requests in the order in which they came, and why the oldest waits.
+class RequestGroup:
+    """Identical requests in submission order, and what the oldest waits for.
 
-    `searched` is the mark of the log of freed workers up to which the oldest found no place.
+    `searched_position` is the position in the log of freed workers up to which the search for the
+    oldest request found no placement; -1 makes the next search consider all workers.
     """
 
-    key: GroupKey
+    key: RequestGroupKey
     requests: OrderedDict[str, PendingRequest] = field(default_factory=OrderedDict)
     waits_for: str = "its turn"
     tried_ms: int = -1
-    searched: int = -1
+    searched_position: int = -1
     reclaim_tried_ms: int = -1
 
     def head(self) -> PendingRequest:
@@ -47,9 +48,11 @@
         return next(iter(self.requests.values()))
 
 
-def key_of(request: PendingRequest) -> GroupKey:
+def group_key_of(request: PendingRequest) -> RequestGroupKey:
     """Return the key of the group that a request belongs to."""
-    return GroupKey(request.team, request.job, request.urgency, request.demand, request.preemptible)
+    return RequestGroupKey(
+        request.team, request.job, request.urgency, request.demand, request.preemptible
+    )
 
 
 def is_large(request: PendingRequest) -> bool:
@@ -64,25 +67,28 @@
     """Keep waiting requests in groups, and count them for each team."""
 
     def __init__(self) -> None:
-        self.groups: dict[GroupKey, Group] = {}
-        self.by_request: dict[str, Group] = {}
-        self.by_team: dict[bool, dict[str, OrderedDict[GroupKey, Group]]] = {True: {}, False: {}}
-        self.counts: dict[str, int] = {}
-        self._large: dict[GroupKey, Group] = {}
+        self.groups: dict[RequestGroupKey, RequestGroup] = {}
+        self.group_by_request_id: dict[str, RequestGroup] = {}
+        self.by_team: dict[bool, dict[str, OrderedDict[RequestGroupKey, RequestGroup]]] = {
+            True: {},
+            False: {},
+        }
+        self.count_by_team: dict[str, int] = {}
+        self._large: dict[RequestGroupKey, RequestGroup] = {}
         self._deadlines: list[tuple[int, str]] = []
 
     def __len__(self) -> int:
-        return len(self.by_request)
+        return len(self.group_by_request_id)
 
-    def add(self, request: PendingRequest) -> Group:
+    def add(self, request: PendingRequest) -> RequestGroup:
         """Add a request to its group; one that waits already stays as it is."""
-        waiting = self.by_request.get(request.request_id)
+        waiting = self.group_by_request_id.get(request.request_id)
         if waiting is not None:
             return waiting
-        key = key_of(request)
+        key = group_key_of(request)
         group = self.groups.get(key)
         if group is None:
-            group = Group(key)
+            group = RequestGroup(key)
             self.groups[key] = group
             if is_large(request):
                 self._large[key] = group
@@ -91,22 +97,22 @@
         group.requests[request.request_id] = request
         if len(group.requests) > 1 and request.submitted_ms < group.head().submitted_ms:
             group.requests.move_to_end(request.request_id, last=False)
-            group.searched = -1
-        self.by_request[request.request_id] = group
+            group.searched_position = -1
+        self.group_by_request_id[request.request_id] = group
         if request.deadline_ms is not None:
             heappush(self._deadlines, (request.deadline_ms, request.request_id))
-        self.counts[key.team] = self.counts.get(key.team, 0) + 1
+        self.count_by_team[key.team] = self.count_by_team.get(key.team, 0) + 1
         return group
 
     def remove(self, request_id: str) -> PendingRequest | None:
         """Take a request out; return None when it does not wait."""
-        group = self.by_request.pop(request_id, None)
+        group = self.group_by_request_id.pop(request_id, None)
         if group is None:
             return None
         if next(iter(group.requests)) == request_id:
-            group.searched = -1
+            group.searched_position = -1
         request = group.requests.pop(request_id)
-        self.counts[request.team] -= 1
+        self.count_by_team[request.team] -= 1
         if not group.requests:
             del self.groups[group.key]
             self._large.pop(group.key, None)
@@ -118,10 +124,10 @@
 
     def get(self, request_id: str) -> PendingRequest | None:
         """Return a waiting request."""
-        group = self.by_request.get(request_id)
+        group = self.group_by_request_id.get(request_id)
         return None if group is None else group.requests[request_id]
 
-    def take_expired(self, now_ms: int) -> list[PendingRequest]:
+    def pop_expired(self, now_ms: int) -> list[PendingRequest]:
         """Take out the requests whose deadline has come."""
         expired = []
         while self._deadlines and self._deadlines[0][0] <= now_ms:
@@ -137,7 +143,7 @@
         heads = [group.head() for group in self._large.values()]
         return min(heads, key=lambda r: (r.submitted_ms, r.request_id), default=None)
 
-    def next_groups(self, urgent: bool, team: str, limit: int) -> list[Group]:
+    def next_groups(self, urgent: bool, team: str, limit: int) -> list[RequestGroup]:
         """Return at least two groups of a team, the oldest and others in turn."""
         groups = self.by_team[urgent].get(team)
         if not groups:
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
@@ -25,9 +25,9 @@
     request: PendingRequest
     workers: frozenset[str]
     start_ms: int
-    made_ms: int
+    created_ms: int
 
-    def keeps_out(self, worker: str, ends_ms: int) -> bool:
+    def blocks(self, worker: str, ends_ms: int) -> bool:
         """Tell whether others that are likely to end then may not start on a worker."""
         return worker in self.workers and ends_ms > self.start_ms
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_queue.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_queue.py
@@ -2,7 +2,7 @@
 
 from agateferry_core.demand import Demand, Urgency
 from agateferry_scheduling.queueing import Queue, is_large
-from agateferry_scheduling.queueing.fairness import Shares
+from agateferry_scheduling.queueing.fairness import TeamShares
 from agateferry_scheduling.scheduler.tests.zones import request
 
 
@@ -14,7 +14,7 @@
         self.assertEqual(["x1", "x2"], list(group.requests))
         queue.remove("x1")
         self.assertEqual("x2", group.head().request_id)
-        self.assertEqual((1, 1), (len(queue), queue.counts["a"]))
+        self.assertEqual((1, 1), (len(queue), queue.count_by_team["a"]))
 
     def test_no_group_is_left_out_for_ever(self):
         queue = Queue()
@@ -40,7 +40,7 @@
         queue = Queue()
         queue.add(request("x1", deadline_ms=10))
         queue.add(request("x2", deadline_ms=20))
-        self.assertEqual(["x1"], [gone.request_id for gone in queue.take_expired(15)])
+        self.assertEqual(["x1"], [gone.request_id for gone in queue.pop_expired(15)])
         self.assertEqual(1, len(queue))
 
     def test_the_oldest_large_request_is_found(self):
@@ -59,14 +59,14 @@
 
 class SharesTests(testtools.TestCase):
     def test_the_dominant_share_counts_by_weight(self):
-        shares = Shares()
+        shares = TeamShares()
         shares.weights = {"a": 2.0, "b": 1.0}
         for name in "ab":
-            shares.change(name, Demand(members=2, accelerators=4), 1)
-        self.assertEqual((0.25, 0.5), tuple(shares.share(name, 16, 16) for name in "ab"))
-        shares.change("b", Demand(members=2, accelerators=4), -1)
-        self.assertEqual(0.0, shares.share("b", 16, 16))
+            shares.charge(name, Demand(members=2, accelerators=4), 1)
+        self.assertEqual((0.25, 0.5), tuple(shares.dominant_share(name, 16, 16) for name in "ab"))
+        shares.charge("b", Demand(members=2, accelerators=4), -1)
+        self.assertEqual(0.0, shares.dominant_share("b", 16, 16))
 
     def test_waiting_makes_up_for_a_larger_share(self):
-        shares = Shares()
+        shares = TeamShares()
         self.assertTrue(shares.rank(0.5, 3 * 3_600_000) < shares.rank(0.0, 0))
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_reservation.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_reservation.py
@@ -20,9 +20,9 @@
         racks = {self.zone.zone.topology.workers[n].worker.rack for n in kept.workers}
         self.assertEqual((4_000, 1), (kept.start_ms, len(racks)))
         [name] = list(kept.workers)[:1]
-        self.assertTrue(kept.keeps_out(name, 4_001))
-        self.assertFalse(kept.keeps_out(name, 4_000))
-        self.assertFalse(kept.keeps_out("elsewhere", 9_000))
+        self.assertTrue(kept.blocks(name, 4_001))
+        self.assertFalse(kept.blocks(name, 4_000))
+        self.assertFalse(kept.blocks("elsewhere", 9_000))
 
     def test_learned_run_times_move_it(self):
         for _ in range(20):
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/admission.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/admission.py
@@ -34,7 +34,7 @@
     def expire(self, now_ms: int) -> list[Decision]:
         """Reject waiting requests whose deadline has passed."""
         decisions: list[Decision] = []
-        for request in self._zone.queue.take_expired(now_ms):
+        for request in self._zone.queue.pop_expired(now_ms):
             detail = "the deadline passed while the request waited"
             reason = RejectReason.DEADLINE_UNREACHABLE
             decisions.append(Reject(request.request_id, reason, detail))
@@ -54,7 +54,7 @@
         if self._is_late(request, now_ms):
             detail = "it cannot be answered before its deadline"
             return Reject(name, RejectReason.DEADLINE_UNREACHABLE, detail)
-        if self._zone.queue.counts.get(team.name, 0) >= team.max_queued:
+        if self._zone.queue.count_by_team.get(team.name, 0) >= team.max_queued:
             detail = f"{team.max_queued} requests of {team.name} wait already"
             retry_ms = self._retry_ms(team.name, now_ms)
             return Reject(name, RejectReason.TEAM_QUEUE_FULL, detail, retry_ms)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
@@ -30,9 +30,9 @@
 
 
 def _explain_waiting(zone: ZoneState, request: PendingRequest, now_ms: int) -> Explanation:
-    group = zone.queue.by_request[request.request_id]
+    group = zone.queue.group_by_request_id[request.request_id]
     place = list(group.requests).index(request.request_id)
-    team = zone.shares.share(request.team, zone.topology.accelerators, zone.topology.slots)
+    team = zone.shares.dominant_share(request.team, zone.topology.accelerators, zone.topology.slots)
     likely_ms = zone.estimates.likely_ms(request)
     details = [
         f"waits for {now_ms - request.submitted_ms} ms",
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
@@ -50,7 +50,7 @@
         candidates = []
         for state in self._open(request, searched):
             room = state.fitting_members(demand)
-            if not room or (kept is not None and kept.keeps_out(state.name, ends_ms)):
+            if not room or (kept is not None and kept.blocks(state.name, ends_ms)):
                 continue
             if not request.preemptible:
                 room = min(room, self._zone.layout.slack(state).fitting_members(demand))
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
@@ -110,7 +110,7 @@
         decisions = self._admission.admit(request, now_ms)
         if not decisions:
             decisions = self._mover.resume(request, now_ms)
-        group = self.zone.queue.by_request.get(request.request_id)
+        group = self.zone.queue.group_by_request_id.get(request.request_id)
         if group is None or next(iter(group.requests)) != request.request_id:
             return decisions
         return decisions + self._starter.try_group(group, now_ms, 1)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
@@ -9,7 +9,7 @@
 from agateferry_core.demand import Urgency
 from agateferry_scheduling.placement.first_fit import Counts
 from agateferry_scheduling.placement.stranding import rack_group, stranded_by
-from agateferry_scheduling.queueing import Group, is_large
+from agateferry_scheduling.queueing import RequestGroup, is_large
 from agateferry_scheduling.scheduler.finder import Finder, backing_of
 from agateferry_scheduling.scheduler.messages import Decision, PendingRequest, Start
 from agateferry_scheduling.scheduler.reclaiming import Reclaimer, may_use_cells
@@ -46,7 +46,7 @@
         decisions += self._reserver.serve(now_ms)
         return decisions
 
-    def try_group(self, group: Group, now_ms: int, limit: int) -> list[Decision]:
+    def try_group(self, group: RequestGroup, now_ms: int, limit: int) -> list[Decision]:
         """Start requests of a group until one finds no place."""
         decisions: list[Decision] = []
         while group.requests and len(decisions) < limit:
@@ -56,7 +56,7 @@
             decisions += found
         return decisions
 
-    def _run_tier(self, groups: list[Group], now_ms: int) -> list[Decision]:
+    def _run_tier(self, groups: list[RequestGroup], now_ms: int) -> list[Decision]:
         decisions: list[Decision] = []
         for _ in range(ROUNDS_PER_PASS):
             started = 0
@@ -71,13 +71,13 @@
                 break
         return decisions
 
-    def _candidates(self, urgent: bool, now_ms: int) -> list[Group]:
+    def _candidates(self, urgent: bool, now_ms: int) -> list[RequestGroup]:
         teams = self._zone.queue.by_team[urgent]
         accelerators, slots = self._zone.topology.accelerators, self._zone.topology.slots
         limit = GROUPS_RANKED // max(len(teams), 1)
-        ranked: list[tuple[float, int, Group]] = []
+        ranked: list[tuple[float, int, RequestGroup]] = []
         for team in list(teams):
-            share = self._zone.shares.share(team, accelerators, slots)
+            share = self._zone.shares.dominant_share(team, accelerators, slots)
             for group in self._zone.queue.next_groups(urgent, team, limit):
                 head = group.head()
                 rank = self._zone.shares.rank(share, now_ms - head.submitted_ms)
@@ -92,7 +92,7 @@
         likely_ms = self._zone.estimates.likely_ms(request)
         return self._zone.config.weights.completion_time * SIZE_RANK * log10(likely_ms + 1)
 
-    def _try(self, group: Group, request: PendingRequest, now_ms: int) -> list[Decision]:
+    def _try(self, group: RequestGroup, request: PendingRequest, now_ms: int) -> list[Decision]:
         found = self._start_now(group, request, now_ms)
         if not found:
             found = self._take_back(group, request, now_ms)
@@ -100,7 +100,9 @@
             group.tried_ms = now_ms
         return found
 
-    def _start_now(self, group: Group, request: PendingRequest, now_ms: int) -> list[Decision]:
+    def _start_now(
+        self, group: RequestGroup, request: PendingRequest, now_ms: int
+    ) -> list[Decision]:
         cells = self._search_cells(group, request)
         if cells is not None and not request.preemptible:
             return [self._start(request, cells, Backing.GUARANTEED, now_ms)]
@@ -124,29 +126,37 @@
                 return self._start(request, cells, Backing.GUARANTEED, now_ms)
         return self._start(request, free, backing_of(request), now_ms)
 
-    def _search_cells(self, group: Group, request: PendingRequest) -> Counts | None:
+    def _search_cells(self, group: RequestGroup, request: PendingRequest) -> Counts | None:
         """Look within the team's cells, unless nothing changed there since the last search."""
         if not may_use_cells(self._zone, request):
             return None
-        freed = self._zone.topology.freed_log.since(group.searched) if group.searched >= 0 else None
+        freed = (
+            self._zone.topology.freed_log.since(group.searched_position)
+            if group.searched_position >= 0
+            else None
+        )
         if freed is not None:
             own = self._zone.layout.team_cell_accelerators[request.team]
             if not any(name in own for name in freed):
                 return None
         return self._find.within_cells(request)
 
-    def _search_free(self, group: Group, request: PendingRequest, now_ms: int) -> Counts | None:
+    def _search_free(
+        self, group: RequestGroup, request: PendingRequest, now_ms: int
+    ) -> Counts | None:
         if self._find.eats_headroom(request):
             group.waits_for = "slots that are not kept for urgent work"
             return None
-        free = self._find.free(request, now_ms, group.searched)
+        free = self._find.free(request, now_ms, group.searched_position)
         if free is None:
-            group.searched = self._zone.topology.freed_log.end_position()
+            group.searched_position = self._zone.topology.freed_log.end_position()
             where = "" if request.preemptible else " outside the guarantees of other teams"
             group.waits_for = f"{_wanted(request)} free at the same time{where}"
         return free
 
-    def _take_back(self, group: Group, request: PendingRequest, now_ms: int) -> list[Decision]:
+    def _take_back(
+        self, group: RequestGroup, request: PendingRequest, now_ms: int
+    ) -> list[Decision]:
         in_haste = request.urgency is Urgency.URGENT or may_use_cells(self._zone, request)
         retry_ms = RECLAIM_RETRY_MS if in_haste else AGED_RETRY_MS
         if group.reclaim_tried_ms >= 0 and now_ms - group.reclaim_tried_ms < retry_ms:
@@ -155,7 +165,7 @@
         group.reclaim_tried_ms = -1 if found else now_ms
         return found
 
-    def _probe(self, groups: list[Group], now_ms: int) -> list[Decision]:
+    def _probe(self, groups: list[RequestGroup], now_ms: int) -> list[Decision]:
         worker = self._zone.health.probe_due(now_ms)
         state = None if worker is None else self._zone.topology.workers.get(worker)
         if worker is None or state is None or state.draining:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
@@ -274,7 +274,7 @@
         self.assertEqual([], queue(zone, request("x", members=2, accelerators=8)))
         for _ in range(2):
             queue(zone, request("y", accelerators=8))
-        self.assertEqual(1, zone.zone.queue.counts["a"])
+        self.assertEqual(1, zone.zone.queue.count_by_team["a"])
 
 
 class ChangeTests(testtools.TestCase):
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
@@ -10,7 +10,7 @@
 from agateferry_scheduling.placement.first_fit import Counts, assignments_of
 from agateferry_scheduling.preemption.claims import Claims
 from agateferry_scheduling.queueing import Queue
-from agateferry_scheduling.queueing.fairness import Shares
+from agateferry_scheduling.queueing.fairness import TeamShares
 from agateferry_scheduling.queueing.reservation import Reservation
 from agateferry_scheduling.scheduler.messages import PendingRequest, SchedulingConfig, Team
 from agateferry_scheduling.topology import Allocation, Backing, Topology
@@ -27,7 +27,7 @@
         self.topology = Topology(zone)
         self.layout = Layout(self.topology)
         self.queue = Queue()
-        self.shares = Shares()
+        self.shares = TeamShares()
         self.estimates = Estimates()
         self.health = Health(config)
         self.claims = Claims(self.topology)
@@ -67,7 +67,7 @@
         """Count an allocation in."""
         self.topology.allocate(allocation)
         self.layout.charge(allocation, 1)
-        self.shares.change(allocation.request.team, allocation.request.demand, 1)
+        self.shares.charge(allocation.request.team, allocation.request.demand, 1)
 
     def release(self, request_id: str) -> Allocation | None:
         """Count an allocation out; return None when it is not known."""
@@ -75,7 +75,7 @@
         if allocation is None:
             return None
         self.layout.charge(allocation, -1)
-        self.shares.change(allocation.request.team, allocation.request.demand, -1)
+        self.shares.charge(allocation.request.team, allocation.request.demand, -1)
         return allocation
 
     def adopt(
