--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
@@ -69,7 +69,7 @@
     own: dict[tuple[str, str], int] = defaultdict(int)
     for allocation in topology.allocations.values():
         request = allocation.request
-        for name, members in allocation.counts.items():
+        for name, members in allocation.member_counts.items():
             taken = members * request.demand.accelerators
             if allocation.backing is Backing.PINNED:
                 pinned[name] += taken
--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
@@ -117,7 +117,7 @@
         book = self.pinned_use
         if allocation.backing is Backing.GUARANTEED:
             book = self.guaranteed_use[allocation.request.team]
-        for name, members in allocation.counts.items():
+        for name, members in allocation.member_counts.items():
             amount = book.setdefault(name, Amount())
             amount.add(allocation.request.demand, sign * members)
             if amount == Amount():
@@ -285,7 +285,9 @@
         guaranteed.sort(key=lambda a: (-a.started_ms, a.request.request_id))
         for allocation in guaranteed:
             team = allocation.request.team
-            if any((team, n) in bare and not self._covers(team, n) for n in allocation.counts):
+            if any(
+                (team, n) in bare and not self._covers(team, n) for n in allocation.member_counts
+            ):
                 self._recount(allocation, _outside(allocation))
         return True
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/choice.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/choice.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from agateferry_core.demand import Adjacency, Demand
-from agateferry_scheduling.placement.first_fit import Counts
+from agateferry_scheduling.placement.first_fit import MemberCounts
 from agateferry_scheduling.topology import WorkerState
 
 
@@ -14,11 +14,11 @@
     """A worker with room for so many members; a lower cost is better."""
 
     state: WorkerState
-    room: int
+    fitting_members: int
     cost: float
 
 
-def choose(candidates: Iterable[Candidate], demand: Demand) -> Counts | None:
+def choose(candidates: Iterable[Candidate], demand: Demand) -> MemberCounts | None:
     """Return how many members go to which worker, or None when the whole gang does not fit.
 
     A gang that may spread still goes to one rack where one has room, because fewer racks are then
@@ -37,10 +37,10 @@
     return _fill_racks(sorted(racks.values(), key=_room, reverse=True), demand)
 
 
-def _one_worker(candidates: Iterable[Candidate], demand: Demand) -> Counts | None:
+def _one_worker(candidates: Iterable[Candidate], demand: Demand) -> MemberCounts | None:
     best: Candidate | None = None
     for candidate in candidates:
-        if candidate.room < demand.members:
+        if candidate.fitting_members < demand.members:
             continue
         if best is None or candidate.cost < best.cost:
             best = candidate
@@ -48,7 +48,7 @@
 
 
 def _room(rack: list[Candidate]) -> int:
-    return sum(candidate.room for candidate in rack)
+    return sum(candidate.fitting_members for candidate in rack)
 
 
 def _cost(rack: list[Candidate], demand: Demand) -> tuple[float, int]:
@@ -56,7 +56,7 @@
     missing = demand.members
     cost = 0.0
     for candidate in sorted(rack, key=_order):
-        taken = min(candidate.room, missing)
+        taken = min(candidate.fitting_members, missing)
         cost += candidate.cost * taken
         missing -= taken
         if missing == 0:
@@ -68,11 +68,11 @@
     return candidate.cost, candidate.state.join_number
 
 
-def _fill(rack: list[Candidate], demand: Demand) -> Counts:
-    counts: Counts = {}
+def _fill(rack: list[Candidate], demand: Demand) -> MemberCounts:
+    counts: MemberCounts = {}
     missing = demand.members
     for candidate in sorted(rack, key=_order):
-        taken = min(candidate.room, missing)
+        taken = min(candidate.fitting_members, missing)
         counts[candidate.state.name] = taken
         missing -= taken
         if missing == 0:
@@ -80,12 +80,12 @@
     return counts
 
 
-def _fill_racks(racks: list[list[Candidate]], demand: Demand) -> Counts | None:
-    counts: Counts = {}
+def _fill_racks(racks: list[list[Candidate]], demand: Demand) -> MemberCounts | None:
+    counts: MemberCounts = {}
     missing = demand.members
     for rack in racks:
         for candidate in sorted(rack, key=_order):
-            taken = min(candidate.room, missing)
+            taken = min(candidate.fitting_members, missing)
             counts[candidate.state.name] = taken
             missing -= taken
             if missing == 0:
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/compaction.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/compaction.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 from agateferry_scheduling.placement.choice import Candidate, choose
-from agateferry_scheduling.placement.cost import cost_of
-from agateferry_scheduling.placement.first_fit import Counts
+from agateferry_scheduling.placement.cost import placement_cost
+from agateferry_scheduling.placement.first_fit import MemberCounts
 from agateferry_scheduling.topology import Allocation, Backing, Topology, WorkerState
 
 WORKERS_WEIGHED = 16
@@ -26,7 +26,7 @@
     """A running allocation, where it goes, and how much closer free accelerators then lie."""
 
     allocation: Allocation
-    counts: Counts
+    member_counts: MemberCounts
     gain: float
 
 
@@ -77,26 +77,26 @@
     return can_stop and not busy and 0 < wanted <= LARGEST_MOVED
 
 
-def _target(topology: Topology, allocation: Allocation) -> Counts | None:
+def _target(topology: Topology, allocation: Allocation) -> MemberCounts | None:
     demand = allocation.request.demand
     candidates = []
     for state in topology.index.accelerated.values():
         if state.free_accelerators < demand.accelerators or not state.is_schedulable():
             continue
-        if state.name in allocation.counts:
+        if state.name in allocation.member_counts:
             continue
         room = state.fitting_members(demand)
         if room:
             rack = topology.racks[state.worker.rack]
-            candidates.append(Candidate(state, room, cost_of(state, rack, demand)))
+            candidates.append(Candidate(state, room, placement_cost(state, rack, demand)))
     return choose(candidates, demand)
 
 
-def _gain(topology: Topology, allocation: Allocation, counts: Counts) -> float:
+def _gain(topology: Topology, allocation: Allocation, counts: MemberCounts) -> float:
     """Return the growth of the sum of squares, by worker and by rack, in accelerators."""
     accelerators = allocation.request.demand.accelerators
     change: dict[str, int] = defaultdict(int)
-    for name, members in allocation.counts.items():
+    for name, members in allocation.member_counts.items():
         change[name] += members * accelerators
     for name, members in counts.items():
         change[name] -= members * accelerators
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/cost.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/cost.py
@@ -14,7 +14,7 @@
 FREE_IN_RACK = 10.0
 
 
-def cost_of(state: WorkerState, rack: RackState, demand: Demand) -> float:
+def placement_cost(state: WorkerState, rack: RackState, demand: Demand) -> float:
     """Return what it costs to put members of the demand on a worker; lower is better."""
     if state.worker.accelerators == 0:
         return float(state.free_slots)
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
@@ -5,10 +5,10 @@
 from agateferry_core.demand import Adjacency, Assignment, Demand
 from agateferry_scheduling.topology import Topology, WorkerState
 
-Counts = dict[str, int]
+MemberCounts = dict[str, int]
 
 
-def assignments_of(demand: Demand, counts: Counts) -> tuple[Assignment, ...]:
+def assignments_of(demand: Demand, counts: MemberCounts) -> tuple[Assignment, ...]:
     """Number the members worker by worker, for example {"w1": 2} gives members 0 and 1 on w1."""
     names = [name for name, count in counts.items() for _ in range(count)]
     return tuple(
@@ -17,7 +17,7 @@
     )
 
 
-def first_fit(topology: Topology, demand: Demand) -> Counts | None:
+def first_fit(topology: Topology, demand: Demand) -> MemberCounts | None:
     """Return how many members go to which worker, or None when the whole gang does not fit."""
     if demand.adjacency is Adjacency.ANY:
         return _fill(topology.schedulable_workers(), demand)
@@ -33,8 +33,8 @@
     return None
 
 
-def _fill(workers: Iterable[WorkerState], demand: Demand) -> Counts | None:
-    counts: Counts = {}
+def _fill(workers: Iterable[WorkerState], demand: Demand) -> MemberCounts | None:
+    counts: MemberCounts = {}
     missing = demand.members
     for worker in workers:
         taken = min(worker.fitting_members(demand), missing)
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/stranding.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/stranding.py
@@ -8,17 +8,17 @@
 
 from agateferry_core.demand import Adjacency, Demand
 from agateferry_scheduling.guarantees import Layout
-from agateferry_scheduling.placement.first_fit import Counts
+from agateferry_scheduling.placement.first_fit import MemberCounts
 from agateferry_scheduling.topology import Topology
 
 
-def rack_group(layout: Layout) -> int:
+def largest_rack_group(layout: Layout) -> int:
     """Return the largest group of accelerators that is promised within one rack, or 0."""
     groups = (cell.accelerators for cell in layout.cells if cell.adjacency is Adjacency.RACK)
     return max(groups, default=0)
 
 
-def stranded_by(topology: Topology, demand: Demand, counts: Counts, group: int) -> float:
+def stranding_change(topology: Topology, demand: Demand, counts: MemberCounts, group: int) -> float:
     """Return by how many accelerators a placement changes what is stranded.
 
     It is the mean for groups of a whole worker and for groups of `group` within a rack.
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_choice.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_choice.py
@@ -2,7 +2,7 @@
 
 from agateferry_core.demand import Adjacency, Demand
 from agateferry_scheduling.placement.choice import Candidate, choose
-from agateferry_scheduling.placement.stranding import stranded_by
+from agateferry_scheduling.placement.stranding import stranding_change
 from agateferry_scheduling.scheduler.tests.zones import worker
 from agateferry_scheduling.topology import Topology
 
@@ -43,5 +43,5 @@
         demand = Demand(accelerators=4)
         self.topology.workers["w0"].allocate(demand, 1)
         self.topology.free_accelerators -= 4
-        self.assertEqual(0, stranded_by(self.topology, demand, {"w0": 1}, 0))
-        self.assertEqual(8, stranded_by(self.topology, demand, {"w1": 1}, 0))
+        self.assertEqual(0, stranding_change(self.topology, demand, {"w0": 1}, 0))
+        self.assertEqual(8, stranding_change(self.topology, demand, {"w1": 1}, 0))
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_compaction.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_compaction.py
@@ -33,7 +33,7 @@
     def test_two_half_used_workers_become_one(self):
         move = best_move(self.zone.zone.topology, HOUR_MS, {}, 0)
         topology = self.zone.zone.topology
-        [target] = move.counts
+        [target] = move.member_counts
         self.assertEqual(4, topology.workers[target].free_accelerators)
         self.assertTrue(move.gain > 0)
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/claims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/claims.py
@@ -45,7 +45,7 @@
         ready = []
         for claim in sorted(self.open.values(), key=lambda c: c.by_ms):
             demand = claim.allocation.request.demand
-            counts = claim.allocation.counts
+            counts = claim.allocation.member_counts
             fits = all(
                 self._vacant(name).minus(used[name]).fitting_members(demand) >= members
                 for name, members in counts.items()
@@ -62,7 +62,7 @@
         return [
             claim
             for claim in self.open.values()
-            if not all(self._is_open(name) for name in claim.allocation.counts)
+            if not all(self._is_open(name) for name in claim.allocation.member_counts)
         ]
 
     def _vacant(self, name: str) -> Amount:
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
@@ -77,7 +77,7 @@
 
 def _part(allocation: Allocation, state: WorkerState) -> Amount:
     part = Amount()
-    part.add(allocation.request.demand, allocation.counts[state.name])
+    part.add(allocation.request.demand, allocation.member_counts[state.name])
     return part
 
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/__init__.py
@@ -1,11 +1,11 @@
-"""Which waiting request comes next."""
+"""The queue of waiting requests and the order in which they are tried."""
 
 from agateferry_scheduling.queueing.queue import (
+    Queue,
     RequestGroup,
     RequestGroupKey,
-    Queue,
-    is_large,
     group_key_of,
+    is_large,
 )
 
-__all__ = ["RequestGroup", "RequestGroupKey", "Queue", "is_large", "group_key_of"]
+__all__ = ["Queue", "RequestGroup", "RequestGroupKey", "group_key_of", "is_large"]
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
@@ -88,8 +88,8 @@
         if total >= demand.members:
             break
         allocation = topology.allocations[request_id]
-        for name in allocation.counts.keys() & room.keys():
-            room[name].add(allocation.request.demand, allocation.counts[name])
+        for name in allocation.member_counts.keys() & room.keys():
+            room[name].add(allocation.request.demand, allocation.member_counts[name])
             total -= fits[name]
             fits[name] = room[name].fitting_members(demand)
             total += fits[name]
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
@@ -18,7 +18,7 @@
 
 def _explain_placed(zone: ZoneState, allocation: Allocation, now_ms: int) -> Explanation:
     request_id = allocation.request.request_id
-    where = ", ".join(f"{name} x{count}" for name, count in allocation.counts.items())
+    where = ", ".join(f"{name} x{count}" for name, count in allocation.member_counts.items())
     details = (f"workers: {where}", f"right: {allocation.backing}")
     claim = zone.claims.open.get(request_id)
     if claim is not None:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
@@ -5,8 +5,8 @@
 from agateferry_core.demand import Adjacency, Demand, Urgency
 from agateferry_scheduling.guarantees import Cell
 from agateferry_scheduling.placement.choice import Candidate, choose
-from agateferry_scheduling.placement.cost import cost_of
-from agateferry_scheduling.placement.first_fit import Counts
+from agateferry_scheduling.placement.cost import placement_cost
+from agateferry_scheduling.placement.first_fit import MemberCounts
 from agateferry_scheduling.preemption.victims import Allowed, Plan, plan_for
 from agateferry_scheduling.queueing import is_large
 from agateferry_scheduling.queueing.reservation import Reservation
@@ -25,7 +25,7 @@
     def __init__(self, zone: ZoneState) -> None:
         self._zone = zone
 
-    def within_cells(self, request: PendingRequest) -> Counts | None:
+    def within_cells(self, request: PendingRequest) -> MemberCounts | None:
         """Return free workers within the team's cells."""
         demand = request.demand
         layout = self._zone.layout
@@ -38,7 +38,7 @@
                 candidates.append(self._candidate(state, room, demand))
         return choose(candidates, demand)
 
-    def free(self, request: PendingRequest, now_ms: int, searched: int = -1) -> Counts | None:
+    def free(self, request: PendingRequest, now_ms: int, searched: int = -1) -> MemberCounts | None:
         """Return free workers, outside what is reserved for others and kept for urgent work.
 
         Workers are passed over on which nothing came free since the mark `searched`. Work that
@@ -60,7 +60,7 @@
                     break
         return choose(candidates, demand)
 
-    def cover(self, request: PendingRequest, counts: Counts) -> bool:
+    def cover(self, request: PendingRequest, counts: MemberCounts) -> bool:
         """Move the team's unused cells onto these workers, or none if they cannot cover it."""
         layout = self._zone.layout
         before = layout.placements()
@@ -69,7 +69,7 @@
             layout.restore_placements(before)
         return covered
 
-    def _bring_cells(self, request: PendingRequest, counts: Counts) -> bool:
+    def _bring_cells(self, request: PendingRequest, counts: MemberCounts) -> bool:
         layout = self._zone.layout
         demand = request.demand
         states = [(self._zone.topology.workers[name], n) for name, n in counts.items()]
@@ -80,7 +80,7 @@
                 return False
         return all(layout.fitting_in_cells(request.team, s, demand) >= n for s, n in states)
 
-    def reclaim(self, request: PendingRequest, now_ms: int) -> tuple[Counts, Plan] | None:
+    def reclaim(self, request: PendingRequest, now_ms: int) -> tuple[MemberCounts, Plan] | None:
         """Return workers within the team's cells, and what to stop there."""
         demand = request.demand
         layout = self._zone.layout
@@ -96,7 +96,7 @@
 
     def take_back(
         self, request: PendingRequest, names: Iterable[str], allowed: Allowed, now_ms: int
-    ) -> tuple[Counts, Plan] | None:
+    ) -> tuple[MemberCounts, Plan] | None:
         """Return some of these workers, and which borrowed work to stop there."""
         demand = request.demand
         avoided = self._zone.health.avoided(request.request_id)
@@ -112,17 +112,17 @@
                 rooms[name] = room
         return self._cheapest(demand, self._shortlist(demand, rooms), allowed, now_ms)
 
-    def is_cheaper(self, request: PendingRequest, one: Counts, other: Counts) -> bool:
+    def is_cheaper(self, request: PendingRequest, one: MemberCounts, other: MemberCounts) -> bool:
         """Tell whether one placement destroys less than the other."""
         return self._cost(request, one) < self._cost(request, other)
 
-    def _cost(self, request: PendingRequest, counts: Counts) -> float:
+    def _cost(self, request: PendingRequest, counts: MemberCounts) -> float:
         topology = self._zone.topology
         cost = 0.0
         for name, members in counts.items():
             state = topology.workers[name]
             rack = topology.racks[state.worker.rack]
-            cost += members * cost_of(state, rack, request.demand)
+            cost += members * placement_cost(state, rack, request.demand)
         return cost
 
     def _shortlist(self, demand: Demand, rooms: dict[str, int]) -> dict[str, int]:
@@ -145,7 +145,7 @@
 
     def _cheapest(
         self, demand: Demand, rooms: dict[str, int], allowed: Allowed, now_ms: int
-    ) -> tuple[Counts, Plan] | None:
+    ) -> tuple[MemberCounts, Plan] | None:
         topology = self._zone.topology
         needed_each = demand.members if demand.adjacency is Adjacency.WORKER else 1
         candidates = []
@@ -235,7 +235,7 @@
 
     def _candidate(self, state: WorkerState, room: int, demand: Demand) -> Candidate:
         rack = self._zone.topology.racks[state.worker.rack]
-        return Candidate(state, room, cost_of(state, rack, demand))
+        return Candidate(state, room, placement_cost(state, rack, demand))
 
     def _reservation_against(self, request: PendingRequest) -> Reservation | None:
         """Return the reservation that a request must keep to, if its holder still waits."""
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/moving.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/moving.py
@@ -37,7 +37,7 @@
         if move is None:
             return []
         request = move.allocation.request
-        self._hold(request, move.counts, now_ms)
+        self._hold(request, move.member_counts, now_ms)
         self._moved_ms[request.request_id] = now_ms
         self._zone.topology.update_allocation(move.allocation, stopping=True)
         by_ms = now_ms + 2 * CHECKPOINT_COST_MS
@@ -48,12 +48,12 @@
         held = self.release(request.request_id)
         if held is None:
             return []
-        if not all(self._is_vacant(request, name, n) for name, n in held.counts.items()):
+        if not all(self._is_vacant(request, name, n) for name, n in held.member_counts.items()):
             return []
-        covered = self._find.cover(request, held.counts)
+        covered = self._find.cover(request, held.member_counts)
         backing = Backing.GUARANTEED if covered else Backing.BORROWED
         self._zone.queue.remove(request.request_id)
-        allocation = self._zone.place(request, held.counts, backing, now_ms, pending=False)
+        allocation = self._zone.place(request, held.member_counts, backing, now_ms, pending=False)
         return [Start(request.request_id, allocation.assignments)]
 
     def release(self, request_id: str) -> Allocation | None:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
@@ -1,7 +1,7 @@
 """Claim workers that other work must leave: for guarantees, urgent starts and aged gangs."""
 
 from agateferry_core.demand import Urgency
-from agateferry_scheduling.placement.first_fit import Counts
+from agateferry_scheduling.placement.first_fit import MemberCounts
 from agateferry_scheduling.preemption.claims import Claim
 from agateferry_scheduling.preemption.victims import CHECKPOINT_COST_MS, Plan
 from agateferry_scheduling.queueing import is_large
@@ -98,7 +98,7 @@
     def _claim(
         self,
         request: PendingRequest,
-        found: tuple[Counts, Plan],
+        found: tuple[MemberCounts, Plan],
         backing: Backing,
         by_ms: int,
         now_ms: int,
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
@@ -135,7 +135,7 @@
             self._mover.forget(event.request_id)
         if event.reason is EndReason.FINISHED:
             self.zone.estimates.learn(request, event.run_ms)
-            changes = self.zone.health.succeeded(request, tuple(allocation.counts))
+            changes = self.zone.health.succeeded(request, tuple(allocation.member_counts))
         elif event.reason is EndReason.FAILED:
             changes = self.zone.health.failed(request, event.failed_workers, now_ms)
         elif event.reason is EndReason.CANCELLED:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
@@ -7,8 +7,8 @@
 from math import log10
 
 from agateferry_core.demand import Urgency
-from agateferry_scheduling.placement.first_fit import Counts
-from agateferry_scheduling.placement.stranding import rack_group, stranded_by
+from agateferry_scheduling.placement.first_fit import MemberCounts
+from agateferry_scheduling.placement.stranding import largest_rack_group, stranding_change
 from agateferry_scheduling.queueing import RequestGroup, is_large
 from agateferry_scheduling.scheduler.finder import Finder, backing_of
 from agateferry_scheduling.scheduler.messages import Decision, PendingRequest, Start
@@ -116,7 +116,7 @@
             return []
         return [self._start_free(request, free, now_ms)]
 
-    def _start_free(self, request: PendingRequest, free: Counts, now_ms: int) -> Decision:
+    def _start_free(self, request: PendingRequest, free: MemberCounts, now_ms: int) -> Decision:
         """Start on free workers, within the team's cells if these can be moved there."""
         if request.demand.accelerators > 0 and self._find.cover(request, free):
             return self._start(request, free, Backing.GUARANTEED, now_ms)
@@ -126,7 +126,7 @@
                 return self._start(request, cells, Backing.GUARANTEED, now_ms)
         return self._start(request, free, backing_of(request), now_ms)
 
-    def _search_cells(self, group: RequestGroup, request: PendingRequest) -> Counts | None:
+    def _search_cells(self, group: RequestGroup, request: PendingRequest) -> MemberCounts | None:
         """Look within the team's cells, unless nothing changed there since the last search."""
         if not may_use_cells(self._zone, request):
             return None
@@ -143,7 +143,7 @@
 
     def _search_free(
         self, group: RequestGroup, request: PendingRequest, now_ms: int
-    ) -> Counts | None:
+    ) -> MemberCounts | None:
         if self._find.eats_headroom(request):
             group.waits_for = "slots that are not kept for urgent work"
             return None
@@ -180,14 +180,14 @@
         return []
 
     def _start(
-        self, request: PendingRequest, counts: Counts, backing: Backing, now_ms: int
+        self, request: PendingRequest, counts: MemberCounts, backing: Backing, now_ms: int
     ) -> Decision:
         self._zone.queue.remove(request.request_id)
         allocation = self._zone.place(request, counts, backing, now_ms, pending=False)
         self._zone.note_start(request.team, now_ms)
         return Start(request.request_id, allocation.assignments)
 
-    def _is_patient(self, request: PendingRequest, counts: Counts, now_ms: int) -> bool:
+    def _is_patient(self, request: PendingRequest, counts: MemberCounts, now_ms: int) -> bool:
         """Let work wait a while for a place that strands nothing, where fragmentation weighs."""
         weight = self._zone.config.weights.fragmentation
         if request.urgency is Urgency.URGENT or not request.demand.accelerators:
@@ -197,7 +197,7 @@
         if now_ms - request.submitted_ms >= patience_ms:
             return False
         topology, layout = self._zone.topology, self._zone.layout
-        return stranded_by(topology, request.demand, counts, rack_group(layout)) > 0
+        return stranding_change(topology, request.demand, counts, largest_rack_group(layout)) > 0
 
 
 def _wanted(request: PendingRequest) -> str:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
@@ -7,7 +7,7 @@
 from agateferry_scheduling.estimates import Estimates
 from agateferry_scheduling.guarantees import Layout
 from agateferry_scheduling.health import Health
-from agateferry_scheduling.placement.first_fit import Counts, assignments_of
+from agateferry_scheduling.placement.first_fit import MemberCounts, assignments_of
 from agateferry_scheduling.preemption.claims import Claims
 from agateferry_scheduling.queueing import Queue
 from agateferry_scheduling.queueing.fairness import TeamShares
@@ -47,7 +47,12 @@
         self.health.config = config
 
     def place(
-        self, request: PendingRequest, counts: Counts, backing: Backing, now_ms: int, pending: bool
+        self,
+        request: PendingRequest,
+        counts: MemberCounts,
+        backing: Backing,
+        now_ms: int,
+        pending: bool,
     ) -> Allocation:
         """Count a request as placed from now on."""
         assignments = assignments_of(request.demand, counts)
@@ -55,7 +60,7 @@
         self.put(allocation)
         return allocation
 
-    def held_place(self, request: PendingRequest, counts: Counts, now_ms: int) -> Allocation:
+    def held_place(self, request: PendingRequest, counts: MemberCounts, now_ms: int) -> Allocation:
         """Keep others off the place that a request moves to."""
         held = replace(request, request_id=f"{request.request_id} moving")
         assignments = assignments_of(request.demand, counts)
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/state.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/state.py
@@ -34,12 +34,12 @@
     backing: Backing = Backing.BORROWED
     stopping: bool = False
     pending: bool = False
-    counts: dict[str, int] = field(default_factory=dict)
+    member_counts: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         """Count the members on each worker once, because every release needs it."""
         for assignment in self.assignments:
-            self.counts[assignment.worker] = self.counts.get(assignment.worker, 0) + 1
+            self.member_counts[assignment.worker] = self.member_counts.get(assignment.worker, 0) + 1
 
 
 @dataclass(slots=True)
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/topology.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/topology.py
@@ -86,7 +86,7 @@
         allocation = self.allocations.pop(request_id, None)
         if allocation is not None:
             self._take(allocation, -1)
-            self.freed_log.add(allocation.counts)
+            self.freed_log.add(allocation.member_counts)
         return allocation
 
     def update_allocation(
@@ -113,7 +113,7 @@
         return (state for state in self.workers.values() if state.is_schedulable())
 
     def _book(self, allocation: Allocation, sign: int) -> None:
-        for name, members in allocation.counts.items():
+        for name, members in allocation.member_counts.items():
             state = self.workers.get(name)
             if state is None:
                 continue
@@ -125,7 +125,7 @@
         self.version += sign < 0
         self._book(allocation, sign)
         demand = allocation.request.demand
-        for name, members in allocation.counts.items():
+        for name, members in allocation.member_counts.items():
             state = self.workers.get(name)
             if state is None:
                 continue
@@ -142,7 +142,7 @@
 
     def _retake(self, state: WorkerState, rack: RackState) -> None:
         for request_id, allocation in self.allocations.items():
-            members = allocation.counts.get(state.name, 0)
+            members = allocation.member_counts.get(state.name, 0)
             if members == 0:
                 continue
             state.allocate(allocation.request.demand, members)
