--- a/packages/agateferry-scheduling/agateferry_scheduling/health/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/health/__init__.py
@@ -1,5 +1,5 @@
 """Which workers and jobs fail."""
 
-from agateferry_scheduling.health.health import Health
+from agateferry_scheduling.health.health import HealthTracker
 
-__all__ = ["Health"]
+__all__ = ["HealthTracker"]
--- a/packages/agateferry-scheduling/agateferry_scheduling/health/health.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/health/health.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class WorkerHealth:
+class WorkerFailures:
     """The jobs that failed on a worker since its last success, and its quarantine if any."""
 
     failed_jobs: list[tuple[str, str]] = field(default_factory=list)
@@ -25,37 +25,37 @@
 
 
 @dataclass(slots=True)
-class JobHealth:
+class JobFailures:
     """The workers on which a job failed since its last success."""
 
     failed_workers: set[str] = field(default_factory=set)
 
 
-class Health:
+class HealthTracker:
     """Judge workers and jobs by how the work ended."""
 
     def __init__(self, config: SchedulingConfig) -> None:
         self.config = config
-        self.workers: dict[str, WorkerHealth] = {}
-        self._jobs: dict[tuple[str, str], JobHealth] = {}
+        self.workers: dict[str, WorkerFailures] = {}
+        self._jobs: dict[tuple[str, str], JobFailures] = {}
         self._requests: dict[str, set[str]] = {}
 
-    def succeeded(self, request: PendingRequest, workers: tuple[str, ...]) -> list[Quarantine]:
+    def record_success(self, request: PendingRequest, workers: tuple[str, ...]) -> list[Quarantine]:
         """Forget failures of the job and of the workers that it ran on."""
         self._jobs.pop((request.team, request.job), None)
         self._requests.pop(request.request_id, None)
         lifted = []
         for name in workers:
-            if self.workers.pop(name, WorkerHealth()).quarantined:
+            if self.workers.pop(name, WorkerFailures()).quarantined:
                 lifted.append(Quarantine(name, True, f"{request.request_id} succeeded there"))
         return lifted
 
-    def failed(
+    def record_failure(
         self, request: PendingRequest, workers: tuple[str, ...], now_ms: int
     ) -> list[Quarantine]:
         """Count a failure that is laid to these workers."""
         key = (request.team, request.job)
-        job = self._jobs.setdefault(key, JobHealth())
+        job = self._jobs.setdefault(key, JobFailures())
         job.failed_workers.update(workers)
         self._requests.setdefault(request.request_id, set()).update(workers)
         if len(job.failed_workers) >= SUSPECT_AFTER_WORKERS:
@@ -70,7 +70,7 @@
         """Drop what is known of a request that will not come back."""
         self._requests.pop(request_id, None)
 
-    def avoided(self, request_id: str) -> set[str]:
+    def failed_workers_of(self, request_id: str) -> set[str]:
         """Return the workers on which the request already failed."""
         return self._requests.get(request_id, set())
 
@@ -81,11 +81,11 @@
                 return name
         return None
 
-    def probe_started(self, worker: str, request_id: str) -> None:
+    def record_probe_start(self, worker: str, request_id: str) -> None:
         """Note the probe that a quarantined worker was given."""
         self.workers[worker].probe = request_id
 
-    def probe_ended(self, request_id: str, now_ms: int) -> None:
+    def record_probe_end(self, request_id: str, now_ms: int) -> None:
         """Wait longer for the next probe, unless a success has lifted the quarantine already."""
         for health in self.workers.values():
             if health.probe == request_id:
@@ -99,7 +99,7 @@
         return health is not None and health.quarantined
 
     def _blame(self, name: str, key: tuple[str, str], now_ms: int) -> Quarantine | None:
-        health = self.workers.setdefault(name, WorkerHealth())
+        health = self.workers.setdefault(name, WorkerFailures())
         health.failed_jobs.append(key)
         failures = len(health.failed_jobs)
         if health.quarantined or failures < self.config.quarantine_after_failures:
--- a/packages/agateferry-scheduling/agateferry_scheduling/health/tests/test_health.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/health/tests/test_health.py
@@ -1,6 +1,6 @@
 import testtools
 
-from agateferry_scheduling.health import Health
+from agateferry_scheduling.health import HealthTracker
 from agateferry_scheduling.scheduler.messages import SchedulingConfig
 from agateferry_scheduling.scheduler.tests.zones import request
 
@@ -8,10 +8,10 @@
 class HealthTests(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.health = Health(SchedulingConfig())
+        self.health = HealthTracker(SchedulingConfig())
 
     def fail(self, name, job, worker, now_ms=0):
-        return self.health.failed(request(name, job=job), (worker,), now_ms)
+        return self.health.record_failure(request(name, job=job), (worker,), now_ms)
 
     def test_failures_in_a_row_quarantine_a_worker(self):
         self.assertEqual([], self.fail("x1", "j1", "w") + self.fail("x2", "j2", "w"))
@@ -21,7 +21,7 @@
     def test_a_success_in_between_forgives(self):
         self.fail("x1", "j1", "w")
         self.fail("x2", "j2", "w")
-        self.health.succeeded(request("x3"), ("w",))
+        self.health.record_success(request("x3"), ("w",))
         self.assertEqual([], self.fail("x4", "j1", "w"))
 
     def test_a_job_that_fails_everywhere_is_not_laid_to_workers(self):
@@ -39,8 +39,8 @@
             self.fail(f"x{number}", f"j{number}", "w")
         self.assertIs(None, self.health.probe_due(59_999))
         self.assertEqual("w", self.health.probe_due(60_000))
-        self.health.probe_started("w", "p")
+        self.health.record_probe_start("w", "p")
         self.assertIs(None, self.health.probe_due(90_000))
-        self.health.probe_ended("p", 90_000)
+        self.health.record_probe_end("p", 90_000)
         self.assertIs(None, self.health.probe_due(209_999))
         self.assertEqual("w", self.health.probe_due(210_000))
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/claims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/claims.py
@@ -12,7 +12,7 @@
     """A pending allocation and when the work in its way must have stopped."""
 
     allocation: Allocation
-    by_ms: int
+    stop_by_ms: int
 
     @property
     def request_id(self) -> str:
@@ -29,21 +29,21 @@
 
     def __init__(self, topology: Topology) -> None:
         self._topology = topology
-        self.open: dict[str, Claim] = {}
+        self.by_request_id: dict[str, Claim] = {}
 
     def add(self, claim: Claim) -> None:
         """Open a claim."""
-        self.open[claim.request_id] = claim
+        self.by_request_id[claim.request_id] = claim
 
     def remove(self, request_id: str) -> Claim | None:
         """Close a claim; return None when there is none."""
-        return self.open.pop(request_id, None)
+        return self.by_request_id.pop(request_id, None)
 
     def ready(self) -> list[Claim]:
         """Return the claims that can start now, all at once, by their terms."""
         used: dict[str, Amount] = defaultdict(Amount)
         ready = []
-        for claim in sorted(self.open.values(), key=lambda c: c.by_ms):
+        for claim in sorted(self.by_request_id.values(), key=lambda c: c.stop_by_ms):
             demand = claim.allocation.request.demand
             counts = claim.allocation.member_counts
             fits = all(
@@ -57,11 +57,11 @@
                 used[name].add(demand, members)
         return ready
 
-    def broken(self) -> list[Claim]:
+    def unschedulable(self) -> list[Claim]:
         """Return the claims on workers that take no new work any more."""
         return [
             claim
-            for claim in self.open.values()
+            for claim in self.by_request_id.values()
             if not all(self._is_open(name) for name in claim.allocation.member_counts)
         ]
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/tests/test_victims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/tests/test_victims.py
@@ -1,7 +1,7 @@
 import testtools
 
 from agateferry_core.demand import Demand, Urgency
-from agateferry_scheduling.preemption.victims import plan_for
+from agateferry_scheduling.preemption.victims import plan_preemption
 from agateferry_scheduling.scheduler.messages import SchedulingConfig
 from agateferry_scheduling.scheduler.tests.zones import queue, request, scheduler
 
@@ -21,7 +21,7 @@
     def plan(self, demand, allowed=lambda allocation: True):
         topology = self.zone.zone.topology
         state = topology.workers["w0"]
-        return plan_for(topology, state, demand, demand.members, allowed, NOW_MS)
+        return plan_preemption(topology, state, demand, demand.members, allowed, NOW_MS)
 
     def victims(self, plan):
         return sorted(victim.request.request_id for victim in plan.victims)
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
@@ -10,18 +10,18 @@
 CHECKPOINT_COST_MS = 5_000
 URGENT_PENALTY_MS = 24 * 3_600_000
 
-Allowed = Callable[[Allocation], bool]
+VictimFilter = Callable[[Allocation], bool]
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class PreemptionPlan:
     """The allocations to stop, and the work that is lost with them in slot-milliseconds."""
 
     victims: tuple[Allocation, ...]
-    lost_ms: int
+    lost_work_ms: int
 
 
-def loss_ms(allocation: Allocation, now_ms: int) -> int:
+def lost_work_ms(allocation: Allocation, now_ms: int) -> int:
     """Return the work lost by stopping now, in slot- or accelerator-milliseconds.
 
     Work that checkpoints loses only the time that the checkpoint takes.
@@ -35,20 +35,20 @@
     return (run_ms + 1) * width + penalty
 
 
-def plan_for(
+def plan_preemption(
     topology: Topology,
     state: WorkerState,
     demand: Demand,
     members: int,
-    allowed: Allowed,
+    allowed: VictimFilter,
     now_ms: int,
-) -> Plan | None:
+) -> PreemptionPlan | None:
     """Return what to stop so that so many members fit on one worker, or None."""
     needed = Amount()
     needed.add(demand, members)
     room = state.free().plus(state.stopping)
     if not room.minus(needed).is_negative():
-        return Plan((), 0)
+        return PreemptionPlan((), 0)
     victims = _candidates(topology, state, allowed, now_ms)
     chosen: list[tuple[int, Allocation]] = []
     for lost, allocation in victims:
@@ -63,14 +63,14 @@
 
 
 def _candidates(
-    topology: Topology, state: WorkerState, allowed: Allowed, now_ms: int
+    topology: Topology, state: WorkerState, allowed: VictimFilter, now_ms: int
 ) -> list[tuple[int, Allocation]]:
     found = []
     for request_id in state.request_ids:
         allocation = topology.allocations[request_id]
         taken_back = allocation.backing is Backing.BORROWED
         if taken_back and not (allocation.stopping or allocation.pending) and allowed(allocation):
-            found.append((loss_ms(allocation, now_ms), allocation))
+            found.append((lost_work_ms(allocation, now_ms), allocation))
     found.sort(key=lambda item: (item[0], item[1].request.request_id))
     return found
 
@@ -90,7 +90,9 @@
     )
 
 
-def _pruned(state: WorkerState, chosen: list[tuple[int, Allocation]], spare: Amount) -> Plan:
+def _pruned(
+    state: WorkerState, chosen: list[tuple[int, Allocation]], spare: Amount
+) -> PreemptionPlan:
     """Let the dearest of the chosen go on where the others are enough."""
     kept: list[tuple[int, Allocation]] = []
     for lost, allocation in reversed(chosen):
@@ -100,4 +102,4 @@
         else:
             spare = without
     kept.reverse()
-    return Plan(tuple(a for _, a in kept), sum(lost for lost, _ in kept))
+    return PreemptionPlan(tuple(a for _, a in kept), sum(lost for lost, _ in kept))
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/admission.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/admission.py
@@ -67,7 +67,7 @@
         """Tell whether a request failed on several workers, or on all that could run it."""
         if self._zone.health.fails_everywhere(request.request_id):
             return True
-        failed = self._zone.health.avoided(request.request_id)
+        failed = self._zone.health.failed_workers_of(request.request_id)
         if not failed:
             return False
         seen = self._zone.topology.known_workers
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
@@ -20,10 +20,10 @@
     request_id = allocation.request.request_id
     where = ", ".join(f"{name} x{count}" for name, count in allocation.member_counts.items())
     details = (f"workers: {where}", f"right: {allocation.backing}")
-    claim = zone.claims.open.get(request_id)
+    claim = zone.claims.by_request_id.get(request_id)
     if claim is not None:
         waits = f"borrowed work on {where} to stop"
-        if_stopped = f"it stops, which it does within {max(claim.by_ms - now_ms, 0)} ms"
+        if_stopped = f"it stops, which it does within {max(claim.stop_by_ms - now_ms, 0)} ms"
         return Explanation(request_id, "reclaiming", waits, if_stopped, details)
     state = "stopping" if allocation.stopping else "running"
     return Explanation(request_id, state, "nothing", "it has started", details)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
@@ -7,7 +7,7 @@
 from agateferry_scheduling.placement.choice import Candidate, choose
 from agateferry_scheduling.placement.cost import placement_cost
 from agateferry_scheduling.placement.first_fit import MemberCounts
-from agateferry_scheduling.preemption.victims import Allowed, Plan, plan_for
+from agateferry_scheduling.preemption.victims import PreemptionPlan, VictimFilter, plan_preemption
 from agateferry_scheduling.queueing import is_large
 from agateferry_scheduling.queueing.reservation import Reservation
 from agateferry_scheduling.scheduler.messages import PendingRequest
@@ -80,7 +80,9 @@
                 return False
         return all(layout.fitting_in_cells(request.team, s, demand) >= n for s, n in states)
 
-    def reclaim(self, request: PendingRequest, now_ms: int) -> tuple[MemberCounts, Plan] | None:
+    def reclaim(
+        self, request: PendingRequest, now_ms: int
+    ) -> tuple[MemberCounts, PreemptionPlan] | None:
         """Return workers within the team's cells, and what to stop there."""
         demand = request.demand
         layout = self._zone.layout
@@ -95,11 +97,11 @@
         return self._cheapest(demand, rooms, lambda allocation: True, now_ms)
 
     def take_back(
-        self, request: PendingRequest, names: Iterable[str], allowed: Allowed, now_ms: int
-    ) -> tuple[MemberCounts, Plan] | None:
+        self, request: PendingRequest, names: Iterable[str], allowed: VictimFilter, now_ms: int
+    ) -> tuple[MemberCounts, PreemptionPlan] | None:
         """Return some of these workers, and which borrowed work to stop there."""
         demand = request.demand
-        avoided = self._zone.health.avoided(request.request_id)
+        avoided = self._zone.health.failed_workers_of(request.request_id)
         rooms = {}
         for name in names:
             state = self._zone.topology.workers.get(name)
@@ -144,8 +146,8 @@
         return chosen
 
     def _cheapest(
-        self, demand: Demand, rooms: dict[str, int], allowed: Allowed, now_ms: int
-    ) -> tuple[MemberCounts, Plan] | None:
+        self, demand: Demand, rooms: dict[str, int], allowed: VictimFilter, now_ms: int
+    ) -> tuple[MemberCounts, PreemptionPlan] | None:
         topology = self._zone.topology
         needed_each = demand.members if demand.adjacency is Adjacency.WORKER else 1
         candidates = []
@@ -153,23 +155,23 @@
             state = topology.workers[name]
             if room < needed_each:
                 continue
-            plan = plan_for(topology, state, demand, room, allowed, now_ms)
+            plan = plan_preemption(topology, state, demand, room, allowed, now_ms)
             while plan is None and room > needed_each:
                 room -= 1
-                plan = plan_for(topology, state, demand, room, allowed, now_ms)
+                plan = plan_preemption(topology, state, demand, room, allowed, now_ms)
             if plan is not None:
-                candidates.append(Candidate(state, room, plan.lost_ms / room))
+                candidates.append(Candidate(state, room, plan.lost_work_ms / room))
         counts = choose(candidates, demand)
         if counts is None:
             return None
         victims = {}
         for name, members in counts.items():
             state = topology.workers[name]
-            plan = plan_for(topology, state, demand, members, allowed, now_ms)
+            plan = plan_preemption(topology, state, demand, members, allowed, now_ms)
             if plan is None:
                 return None
             victims.update({victim.request.request_id: victim for victim in plan.victims})
-        return counts, Plan(tuple(victims.values()), 0)
+        return counts, PreemptionPlan(tuple(victims.values()), 0)
 
     def _bring_cell(self, request: PendingRequest, state: WorkerState, wanted: int) -> bool:
         layout = self._zone.layout
@@ -202,14 +204,14 @@
         return [places] if missing == 0 else []
 
     def _cell_workers(self, request: PendingRequest) -> Iterator[WorkerState]:
-        avoided = self._zone.health.avoided(request.request_id)
+        avoided = self._zone.health.failed_workers_of(request.request_id)
         for name in self._zone.layout.team_cell_accelerators[request.team]:
             state = self._zone.topology.workers.get(name)
             if state is not None and state.is_schedulable() and name not in avoided:
                 yield state
 
     def _open(self, request: PendingRequest, searched: int) -> Iterator[WorkerState]:
-        avoided = self._zone.health.avoided(request.request_id)
+        avoided = self._zone.health.failed_workers_of(request.request_id)
         wanted = request.demand.accelerators
         for state in self._changed(request.demand, searched):
             if state.free_slots <= 0 or state.free_accelerators < wanted:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
@@ -3,7 +3,7 @@
 from agateferry_core.demand import Urgency
 from agateferry_scheduling.placement.first_fit import MemberCounts
 from agateferry_scheduling.preemption.claims import Claim
-from agateferry_scheduling.preemption.victims import CHECKPOINT_COST_MS, Plan
+from agateferry_scheduling.preemption.victims import CHECKPOINT_COST_MS, PreemptionPlan
 from agateferry_scheduling.queueing import is_large
 from agateferry_scheduling.scheduler.finder import Finder, backing_of
 from agateferry_scheduling.scheduler.messages import Decision, PendingRequest, Preempt, Start
@@ -98,7 +98,7 @@
     def _claim(
         self,
         request: PendingRequest,
-        found: tuple[MemberCounts, Plan],
+        found: tuple[MemberCounts, PreemptionPlan],
         backing: Backing,
         by_ms: int,
         now_ms: int,
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
@@ -135,12 +135,12 @@
             self._mover.forget(event.request_id)
         if event.reason is EndReason.FINISHED:
             self.zone.estimates.learn(request, event.run_ms)
-            changes = self.zone.health.succeeded(request, tuple(allocation.member_counts))
+            changes = self.zone.health.record_success(request, tuple(allocation.member_counts))
         elif event.reason is EndReason.FAILED:
-            changes = self.zone.health.failed(request, event.failed_workers, now_ms)
+            changes = self.zone.health.record_failure(request, event.failed_workers, now_ms)
         elif event.reason is EndReason.CANCELLED:
             self.zone.health.forget(event.request_id)
-        self.zone.health.probe_ended(event.request_id, now_ms)
+        self.zone.health.record_probe_end(event.request_id, now_ms)
         for change in changes:
             self._apply(change)
         return list(changes)
@@ -164,7 +164,7 @@
     def _close(self) -> None:
         """Move cells and claims off workers that take no new work."""
         self.zone.layout.refresh()
-        for claim in self.zone.claims.broken():
+        for claim in self.zone.claims.unschedulable():
             self.zone.claims.remove(claim.request_id)
             self.zone.release(claim.request_id)
             self.zone.queue.add(claim.allocation.request)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
@@ -173,9 +173,9 @@
         for group in groups:
             request = group.head()
             small = request.demand.members == 1 and request.preemptible
-            failed_there = worker in self._zone.health.avoided(request.request_id)
+            failed_there = worker in self._zone.health.failed_workers_of(request.request_id)
             if small and not failed_there and state.fitting_members(request.demand):
-                self._zone.health.probe_started(worker, request.request_id)
+                self._zone.health.record_probe_start(worker, request.request_id)
                 return [self._start(request, {worker: 1}, Backing.BORROWED, now_ms)]
         return []
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
@@ -77,7 +77,7 @@
 
     def test_a_lost_worker_under_a_claim_puts_the_request_back(self):
         preempts = of_type(self.reclaim(), Preempt)
-        [name] = self.zone.zone.claims.open["b0"].allocation.member_counts
+        [name] = self.zone.zone.claims.by_request_id["b0"].allocation.member_counts
         decisions = self.zone.step(WorkerLost(name), 11_000)
         for preempt in preempts:
             ended = RequestEnded(preempt.request_id, EndReason.WORKER_LOST, 1_000)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
@@ -6,7 +6,7 @@
 from agateferry_core.demand import Assignment
 from agateferry_scheduling.estimates import Estimates
 from agateferry_scheduling.guarantees import Layout
-from agateferry_scheduling.health import Health
+from agateferry_scheduling.health import HealthTracker
 from agateferry_scheduling.placement.first_fit import MemberCounts, assignments_of
 from agateferry_scheduling.preemption.claims import Claims
 from agateferry_scheduling.queueing import Queue
@@ -29,7 +29,7 @@
         self.queue = Queue()
         self.shares = TeamShares()
         self.estimates = Estimates()
-        self.health = Health(config)
+        self.health = HealthTracker(config)
         self.claims = Claims(self.topology)
         self.reservation: Reservation | None = None
         self.adopting = False
