--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/__init__.py
@@ -1,4 +1,4 @@
-"""Which shapes each team is promised, and where they can be laid out."""
+"""The teams' guaranteed shapes, and a layout that proves that all fit at the same time."""
 
 from agateferry_scheduling.guarantees.layout import Cell, Layout
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
@@ -1,6 +1,6 @@
-"""Check that a layout proves the guarantees, from nothing but the placements themselves.
+"""Checks a layout against the guarantees, from the placements alone.
 
-This repeats none of the sums that the layout keeps, so a fault in them shows.
+The check uses none of the totals that the layout maintains, so it also detects a fault in them.
 """
 
 from collections import Counter, defaultdict
@@ -17,32 +17,32 @@
 def find_guarantee_violation(
     topology: Topology, layout: Layout, teams: Iterable[Team]
 ) -> str | None:
-    """Return how the guarantee invariant is broken, or None when it holds.
+    """Return how the guarantee invariant is violated, or None when it holds.
 
-    Cells that the layout itself calls missing are passed over: that is a guarantee at risk, told
-    to operators, and not a fault of placement.
+    Cells that the layout reports as missing are skipped: they are a guarantee at risk, which
+    operators are told about, and not a fault of placement.
     """
-    if _wanted(teams) != Counter(_kind(cell) for cell in layout.cells):
+    if _guaranteed_shapes(teams) != Counter(_shape_key(cell) for cell in layout.cells):
         return "the cells are not the teams' guaranteed shapes"
     for cell in layout.cells:
-        if cell.placement and not _is_shaped(cell, topology):
+        if cell.placement and not _has_its_shape(cell, topology):
             return f"a cell of {cell.team} does not have its shape: {cell.placement}"
-    return _overlap(topology, layout)
+    return _find_overlap(topology, layout)
 
 
-def _wanted(teams: Iterable[Team]) -> ShapeCounts:
-    wanted: ShapeCounts = Counter()
+def _guaranteed_shapes(teams: Iterable[Team]) -> ShapeCounts:
+    counts: ShapeCounts = Counter()
     for team in teams:
         for shape in team.guarantee:
-            wanted[(team.name, shape.accelerators, shape.adjacency)] += shape.count
-    return wanted
+            counts[(team.name, shape.accelerators, shape.adjacency)] += shape.count
+    return counts
 
 
-def _kind(cell: Cell) -> tuple[str, int, Adjacency]:
+def _shape_key(cell: Cell) -> tuple[str, int, Adjacency]:
     return cell.team, cell.accelerators, cell.adjacency
 
 
-def _is_shaped(cell: Cell, topology: Topology) -> bool:
+def _has_its_shape(cell: Cell, topology: Topology) -> bool:
     workers: list[Worker] = []
     for name in cell.placement:
         state = topology.workers.get(name)
@@ -58,7 +58,7 @@
     return True
 
 
-def _overlap(topology: Topology, layout: Layout) -> str | None:
+def _find_overlap(topology: Topology, layout: Layout) -> str | None:
     in_cells: Counter[str] = Counter()
     cells_by_team: Counter[tuple[str, str]] = Counter()
     for cell in layout.cells:
@@ -66,7 +66,7 @@
             in_cells[name] += count
             cells_by_team[(cell.team, name)] += count
     pinned: Counter[str] = Counter()
-    own: dict[tuple[str, str], int] = defaultdict(int)
+    guaranteed: dict[tuple[str, str], int] = defaultdict(int)
     for allocation in topology.allocations.values():
         request = allocation.request
         for name, members in allocation.member_counts.items():
@@ -74,10 +74,10 @@
             if allocation.backing is Backing.PINNED:
                 pinned[name] += taken
             elif allocation.backing is Backing.GUARANTEED:
-                own[(request.team, name)] += taken
+                guaranteed[(request.team, name)] += taken
             elif not request.preemptible:
-                return f"{request.request_id} is borrowed but cannot be taken back"
-    for (team, name), taken in own.items():
+                return f"{request.request_id} is borrowed but not preemptible"
+    for (team, name), taken in guaranteed.items():
         if name in topology.workers and taken > cells_by_team[(team, name)]:
             return f"guaranteed work of {team} lies outside its cells on {name}"
     for name, count in in_cells.items():
--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
@@ -1,10 +1,11 @@
-"""A layout of all teams' guaranteed shapes at once, kept as the proof that all can be had.
-
-The invariant is that of HiveD (Zhao et al., OSDI 2020): for all teams at once, the guaranteed
-shapes can be laid out on accelerators that are free, the team's own, or borrowed and can be taken
-back. The layout is a witness of it. Each cell is one group of a shape at a stated place. Guaranteed
-work lies within its team's cells, pinned work lies outside all cells, and borrowed work, which can
-be taken back, may lie anywhere. A placement that would need an impossible layout is not made.
+"""A layout of all teams' guaranteed shapes, maintained as the proof that all of them fit at once.
+
+The invariant is that of HiveD (Zhao et al., OSDI 2020): the guaranteed shapes of all teams can be
+placed at the same time on accelerators that are free, used by the team itself, or borrowed by work
+that can be preempted. The layout is the witness of it. A cell is one group of a shape with its
+placement. Guaranteed work runs within its team's cells, pinned work runs outside all cells, and
+borrowed work, which can be preempted, may run anywhere. A request is not placed where no valid
+layout would remain.
 """
 
 from collections import defaultdict
@@ -15,12 +16,15 @@
 from agateferry_scheduling.topology import Allocation, Backing, Topology, WorkerState
 from agateferry_scheduling.topology.amount import Amount, proportional_resources, total_resources
 
-STRICTNESS = {Adjacency.WORKER: 0, Adjacency.RACK: 1, Adjacency.ANY: 2}
+ADJACENCY_ORDER = {Adjacency.WORKER: 0, Adjacency.RACK: 1, Adjacency.ANY: 2}
 
 
 @dataclass(slots=True, eq=False)
 class Cell:
-    """One group of a team's shape, and the accelerators of each worker where it is laid."""
+    """One group of a team's shape; `placement` maps each of its workers to accelerators there.
+
+    `placement` is empty while the cell fits nowhere.
+    """
 
     team: str
     accelerators: int
@@ -29,9 +33,11 @@
 
 
 class Layout:
-    """Keep every team's cells laid out, and say what room they leave.
+    """Place every team's cells, and report the resources that they leave to other work.
 
-    `own` counts guaranteed work for each team and worker, `pinned` counts pinned work.
+    `cell_accelerators` counts the accelerators of a worker that all cells cover, and
+    `team_cell_accelerators` those that one team's cells cover. `guaranteed_use` sums the guaranteed
+    work of a team on a worker, `pinned_use` the pinned work of all teams on it.
     """
 
     def __init__(self, topology: Topology) -> None:
@@ -43,67 +49,67 @@
         self.pinned_use: dict[str, Amount] = {}
 
     def set_teams(self, teams: tuple[Team, ...]) -> None:
-        """Make the cells anew for this list of teams, largest and most adjacent first."""
+        """Replace all cells by those of these teams, the largest and strictest adjacency first."""
         self.cells = [
             Cell(team.name, shape.accelerators, shape.adjacency)
             for team in teams
             for shape in team.guarantee
             for _ in range(shape.count)
         ]
-        self.cells.sort(key=lambda cell: (-cell.accelerators, STRICTNESS[cell.adjacency]))
+        self.cells.sort(key=lambda cell: (-cell.accelerators, ADJACENCY_ORDER[cell.adjacency]))
         self.adopt_running_allocations()
 
     def missing(self) -> tuple[str, ...]:
-        """Return the teams whose shapes cannot all be laid out now."""
+        """Return the teams whose guaranteed shapes cannot all be placed now."""
         return tuple(sorted({cell.team for cell in self.cells if not cell.placement}))
 
     def adopt_running_allocations(self) -> None:
-        """Lay the cells around what runs already, and count as guaranteed what they cover.
+        """Place all cells around running work, and count the work that they cover as guaranteed.
 
-        It serves a scheduler that has just begun, and a list of teams that changed.
+        This is needed after a scheduler started and after the list of teams changed.
         """
         teams = {cell.team for cell in self.cells}
         for allocation in self.topology.allocations.values():
             request = allocation.request
             may_use = request.demand.accelerators > 0 or not request.preemptible
             if request.team in teams and may_use and not allocation.pending:
-                self._recount(allocation, Backing.GUARANTEED)
+                self._reclassify(allocation, Backing.GUARANTEED)
         self.place_all_cells()
 
     def place_all_cells(self) -> None:
-        """Lay every cell out anew, first around the team's own guaranteed work."""
+        """Place every cell again, first on workers that run the team's guaranteed work."""
         self.cell_accelerators.clear()
         self.team_cell_accelerators.clear()
         for cell in self.cells:
             cell.placement = {}
-        self._settle()
+        self._place_and_demote()
 
     def refresh(self) -> None:
-        """Take cells off workers that are gone or closed and lay them out elsewhere."""
-        self._settle()
+        """Move cells off workers that were lost or accept no new work."""
+        self._place_and_demote()
         if self.missing():
             self.place_all_cells()
 
     def place_cell(self, cell: Cell) -> bool:
-        """Lay a cell where there is room outside other cells and pinned work, if anywhere."""
-        for places in self._options(cell):
-            self._put(cell, places)
+        """Place a cell outside other cells and pinned work; return False when it fits nowhere."""
+        for placement in self._best_placement(cell):
+            self._place(cell, placement)
             return True
         return False
 
     def fitting_in_cells(self, team: str, state: WorkerState, demand: Demand) -> int:
-        """Return how many members fit into the team's cells on a worker beside its own work."""
-        laid = self.team_cell_accelerators[team].get(state.name, 0)
-        if laid == 0:
+        """Return how many members fit into the team's cells on a worker beside guaranteed work."""
+        in_cells = self.team_cell_accelerators[team].get(state.name, 0)
+        if in_cells == 0:
             return 0
-        within = proportional_resources(state.worker, laid)
+        within = proportional_resources(state.worker, in_cells)
         used = self.guaranteed_use[team].get(state.name)
         if used is not None:
             within = within.minus(used)
         return within.fitting_members(demand)
 
     def slack(self, state: WorkerState) -> Amount:
-        """Return what no cell and no pinned work takes on a worker."""
+        """Return a worker's resources that neither cells nor pinned work use."""
         left = total_resources(state.worker).minus(
             proportional_resources(state.worker, self.cell_accelerators.get(state.name, 0))
         )
@@ -111,65 +117,65 @@
         return left.minus(pinned) if pinned is not None else left
 
     def charge(self, allocation: Allocation, sign: int) -> None:
-        """Count guaranteed or pinned work in (1) or out (-1)."""
+        """Add (1) or subtract (-1) the resources of guaranteed or pinned work."""
         if allocation.backing is Backing.BORROWED:
             return
-        book = self.pinned_use
+        use_by_worker = self.pinned_use
         if allocation.backing is Backing.GUARANTEED:
-            book = self.guaranteed_use[allocation.request.team]
+            use_by_worker = self.guaranteed_use[allocation.request.team]
         for name, members in allocation.member_counts.items():
-            amount = book.setdefault(name, Amount())
+            amount = use_by_worker.setdefault(name, Amount())
             amount.add(allocation.request.demand, sign * members)
             if amount == Amount():
-                del book[name]
+                del use_by_worker[name]
 
     def is_movable(self, cell: Cell) -> bool:
-        """Tell whether the team's own work is covered without this cell."""
-        for name, laid in cell.placement.items():
+        """Return whether the team's other cells cover its guaranteed work without this cell."""
+        for name, in_cells in cell.placement.items():
             used = self.guaranteed_use[cell.team].get(name)
             if used is None:
                 continue
             state = self.topology.workers[name]
             rest = proportional_resources(
-                state.worker, self.team_cell_accelerators[cell.team][name] - laid
+                state.worker, self.team_cell_accelerators[cell.team][name] - in_cells
             )
             if rest.minus(used).is_negative():
                 return False
         return True
 
-    def move(self, cell: Cell, places: dict[str, int]) -> bool:
-        """Move a cell to another place, or swap it with another team's equal cell there."""
+    def move(self, cell: Cell, placement: dict[str, int]) -> bool:
+        """Move a cell to another placement, or swap it with another team's equal cell there."""
         before = cell.placement
-        self._lift(cell)
-        if all(self._takes(name, count) for name, count in places.items()):
-            self._put(cell, places)
+        self._unplace(cell)
+        if all(self._fits(name, count) for name, count in placement.items()):
+            self._place(cell, placement)
             return True
         for other in self.cells:
-            if other.placement == places and other.team != cell.team and self.is_movable(other):
-                self._lift(other)
-                self._put(cell, places)
-                self._put(other, before)
+            if other.placement == placement and other.team != cell.team and self.is_movable(other):
+                self._unplace(other)
+                self._place(cell, placement)
+                self._place(other, before)
                 return True
-        self._put(cell, before)
+        self._place(cell, before)
         return False
 
     def placements(self) -> list[dict[str, int]]:
-        """Return where each cell lies, for `restore_placements`."""
+        """Return the placement of each cell, for `restore_placements`."""
         return [cell.placement for cell in self.cells]
 
-    def restore_placements(self, places: list[dict[str, int]]) -> None:
-        """Undo all moves since `places` was called."""
+    def restore_placements(self, placements: list[dict[str, int]]) -> None:
+        """Undo all moves since `placements` was called."""
         changed = [
             (cell, before)
-            for cell, before in zip(self.cells, places, strict=True)
+            for cell, before in zip(self.cells, placements, strict=True)
             if cell.placement is not before
         ]
         for cell, _ in changed:
-            self._lift(cell)
+            self._unplace(cell)
         for cell, before in changed:
-            self._put(cell, before)
+            self._place(cell, before)
 
-    def _takes(self, name: str, accelerators: int) -> bool:
+    def _fits(self, name: str, accelerators: int) -> bool:
         state = self.topology.workers.get(name)
         if state is None or not state.is_schedulable():
             return False
@@ -179,60 +185,66 @@
             .is_negative()
         )
 
-    def _room(self, cell: Cell, state: WorkerState) -> int:
-        """Return how many accelerators of a cell a worker can take."""
+    def _fitting_accelerators(self, cell: Cell, state: WorkerState) -> int:
+        """Return how many accelerators of a cell fit on a worker."""
         slack = self.slack(state)
-        room = min(slack.accelerators, cell.accelerators)
-        while room > 0 and slack.minus(proportional_resources(state.worker, room)).is_negative():
-            room -= 1
-        return max(room, 0)
-
-    def _options(self, cell: Cell) -> list[dict[str, int]]:
-        """Return the best place for a cell, in a list that is empty when there is none."""
-        own = self.guaranteed_use[cell.team]
-        rooms: dict[str, list[tuple[bool, int, int, str]]] = defaultdict(list)
+        fitting = min(slack.accelerators, cell.accelerators)
+        while (
+            fitting > 0 and slack.minus(proportional_resources(state.worker, fitting)).is_negative()
+        ):
+            fitting -= 1
+        return max(fitting, 0)
+
+    def _best_placement(self, cell: Cell) -> list[dict[str, int]]:
+        """Return a list of the best placement for a cell, or an empty one when it fits nowhere.
+
+        Workers that run guaranteed work of the team outside its cells come first. A candidate is
+        (no such work runs there, fitting accelerators, join number, name of the worker).
+        """
+        guaranteed_use = self.guaranteed_use[cell.team]
+        candidates: dict[str, list[tuple[bool, int, int, str]]] = defaultdict(list)
         for state in self.topology.index.accelerated.values():
-            room = self._room(cell, state) if state.is_schedulable() else 0
-            if room:
-                uncovered = state.name in own and not self.team_cell_accelerators[cell.team].get(
-                    state.name
-                )
-                rooms[state.worker.rack].append(
-                    (not uncovered, room, state.join_number, state.name)
+            fitting = self._fitting_accelerators(cell, state) if state.is_schedulable() else 0
+            if fitting:
+                uncovered = state.name in guaranteed_use and not self.team_cell_accelerators[
+                    cell.team
+                ].get(state.name)
+                candidates[state.worker.rack].append(
+                    (not uncovered, fitting, state.join_number, state.name)
                 )
         if cell.adjacency is Adjacency.WORKER:
-            fits = [r for rack in rooms.values() for r in rack if r[1] >= cell.accelerators]
-            fits.sort(key=lambda r: (r[0], self._slack_of(r[3]), r[2]))
+            fits = [r for rack in candidates.values() for r in rack if r[1] >= cell.accelerators]
+            fits.sort(key=lambda r: (r[0], self._slack_accelerators(r[3]), r[2]))
             return [{fits[0][3]: cell.accelerators}] if fits else []
-        groups = list(rooms.values())
+        groups = list(candidates.values())
         if cell.adjacency is Adjacency.ANY:
             groups = [[r for rack in groups for r in rack]]
         groups = [g for g in groups if sum(r[1] for r in g) >= cell.accelerators]
         groups.sort(key=lambda g: (all(r[0] for r in g), sum(r[1] for r in g)))
-        return [self._spread(groups[0], cell.accelerators)] if groups else []
+        return [self._fill(groups[0], cell.accelerators)] if groups else []
 
-    def _slack_of(self, name: str) -> int:
+    def _slack_accelerators(self, name: str) -> int:
         return self.slack(self.topology.workers[name]).accelerators
 
-    def _spread(self, rooms: list[tuple[bool, int, int, str]], wanted: int) -> dict[str, int]:
-        places: dict[str, int] = {}
-        for _, room, _, name in sorted(rooms, key=lambda r: (r[0], -r[1], r[2])):
-            taken = min(room, wanted)
-            places[name] = taken
+    def _fill(self, candidates: list[tuple[bool, int, int, str]], wanted: int) -> dict[str, int]:
+        placement: dict[str, int] = {}
+        for _, fitting, _, name in sorted(candidates, key=lambda r: (r[0], -r[1], r[2])):
+            taken = min(fitting, wanted)
+            placement[name] = taken
             wanted -= taken
             if wanted == 0:
                 break
-        return places
+        return placement
 
-    def _put(self, cell: Cell, places: dict[str, int]) -> None:
-        cell.placement = places
-        self.topology.freed_log.add(places)
+    def _place(self, cell: Cell, placement: dict[str, int]) -> None:
+        cell.placement = placement
+        self.topology.freed_log.add(placement)
         team = self.team_cell_accelerators[cell.team]
-        for name, count in places.items():
+        for name, count in placement.items():
             self.cell_accelerators[name] += count
             team[name] = team.get(name, 0) + count
 
-    def _lift(self, cell: Cell) -> None:
+    def _unplace(self, cell: Cell) -> None:
         team = self.team_cell_accelerators[cell.team]
         for name, count in cell.placement.items():
             self.cell_accelerators[name] -= count
@@ -242,12 +254,12 @@
         self.topology.freed_log.add(cell.placement)
         cell.placement = {}
 
-    def _holds(self, name: str) -> bool:
-        """Tell whether a worker is open and large enough for what is laid on it."""
+    def _is_valid_on(self, name: str) -> bool:
+        """Return whether a worker is schedulable and large enough for its cells and pinned work."""
         state = self.topology.workers.get(name)
         return state is not None and state.is_schedulable() and not self.slack(state).is_negative()
 
-    def _covers(self, team: str, name: str) -> bool:
+    def _cells_cover(self, team: str, name: str) -> bool:
         used = self.guaranteed_use[team].get(name)
         if used is None:
             return True
@@ -260,22 +272,26 @@
             .is_negative()
         )
 
-    def _settle(self) -> None:
-        """Lay out what is not, and demote guaranteed work without a cell, until nothing changes."""
+    def _place_and_demote(self) -> None:
+        """Place missing cells and demote guaranteed work outside cells, until nothing changes."""
         for cell in self.cells:
-            if not all(self._holds(name) for name in cell.placement):
-                self._lift(cell)
+            if not all(self._is_valid_on(name) for name in cell.placement):
+                self._unplace(cell)
         for cell in self.cells:
             if not cell.placement:
                 self.place_cell(cell)
         if self._demote_uncovered():
-            self._settle()
+            self._place_and_demote()
 
     def _demote_uncovered(self) -> bool:
-        """Count guaranteed work without a cell as borrowed or pinned, the newest first."""
-        pairs = [(team, name) for team, book in self.guaranteed_use.items() for name in book]
-        bare = {(team, name) for team, name in pairs if not self._covers(team, name)}
-        if not bare:
+        """Count guaranteed work that cells do not cover as borrowed or pinned, the newest first."""
+        pairs = [
+            (team, name)
+            for team, use_by_worker in self.guaranteed_use.items()
+            for name in use_by_worker
+        ]
+        uncovered = {(team, name) for team, name in pairs if not self._cells_cover(team, name)}
+        if not uncovered:
             return False
         guaranteed = [
             allocation
@@ -286,16 +302,17 @@
         for allocation in guaranteed:
             team = allocation.request.team
             if any(
-                (team, n) in bare and not self._covers(team, n) for n in allocation.member_counts
+                (team, n) in uncovered and not self._cells_cover(team, n)
+                for n in allocation.member_counts
             ):
-                self._recount(allocation, _outside(allocation))
+                self._reclassify(allocation, _kind_outside_cells(allocation))
         return True
 
-    def _recount(self, allocation: Allocation, backing: Backing) -> None:
+    def _reclassify(self, allocation: Allocation, backing: Backing) -> None:
         self.charge(allocation, -1)
         self.topology.update_allocation(allocation, backing=backing)
         self.charge(allocation, 1)
 
 
-def _outside(allocation: Allocation) -> Backing:
+def _kind_outside_cells(allocation: Allocation) -> Backing:
     return Backing.BORROWED if allocation.request.preemptible else Backing.PINNED
--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/tests/test_layout.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/tests/test_layout.py
@@ -20,17 +20,17 @@
         self.layout.set_teams(teams)
         self.assertIs(None, find_guarantee_violation(self.topology, self.layout, teams))
 
-    def test_shapes_of_all_teams_are_laid_out_at_once(self):
+    def test_shapes_of_all_teams_are_placed_at_once(self):
         rack = Shape(16, Adjacency.RACK)
         self.set_teams(Team("a", (Shape(8, count=2),)), Team("b", (rack,)))
         self.assertEqual((), self.layout.missing())
         self.assertEqual(32, sum(self.layout.cell_accelerators.values()))
 
-    def test_what_does_not_fit_is_missing(self):
+    def test_a_team_whose_shapes_do_not_fit_is_missing(self):
         self.set_teams(Team("a", (Shape(16, Adjacency.RACK, 2),)), Team("b", (Shape(1),)))
         self.assertEqual(("b",), self.layout.missing())
 
-    def test_cells_leave_lost_workers(self):
+    def test_cells_move_off_lost_workers(self):
         self.set_teams(Team("a", (Shape(8),)))
         [cell] = self.layout.cells
         [name] = cell.placement
@@ -41,14 +41,14 @@
 
     def test_equal_cells_of_two_teams_swap(self):
         self.set_teams(Team("a", (Shape(8, count=2),)), Team("b", (Shape(8, count=2),)))
-        mine = next(c for c in self.layout.cells if c.team == "a")
-        theirs = next(c for c in self.layout.cells if c.team == "b")
-        place = dict(theirs.placement)
-        self.assertTrue(self.layout.move(mine, place))
-        self.assertEqual(place, mine.placement)
+        cell = next(c for c in self.layout.cells if c.team == "a")
+        other = next(c for c in self.layout.cells if c.team == "b")
+        placement = dict(other.placement)
+        self.assertTrue(self.layout.move(cell, placement))
+        self.assertEqual(placement, cell.placement)
         self.assertIs(None, find_guarantee_violation(self.topology, self.layout, self.teams))
 
-    def test_room_within_cells_comes_with_its_share_of_the_worker(self):
+    def test_cells_include_a_proportional_share_of_the_worker(self):
         self.set_teams(Team("a", (Shape(4),)))
         [name] = self.layout.cells[0].placement
         state = self.topology.workers[name]
