--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/queue.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/queue.py
@@ -1,7 +1,7 @@
-"""The waiting requests, by urgency, team and likeness.
+"""The waiting requests, grouped by team, job and demand.
 
-Requests of one team and job that ask for the same are alike: when the oldest of them finds no
-place, the others find none either. So a decision step tries groups, and not requests.
+Requests of one team and job with the same demand form a group: when the oldest of them cannot be
+placed, neither can the others. So a scheduling pass tries groups instead of requests.
 """
 
 from collections import OrderedDict
@@ -12,14 +12,14 @@
 from agateferry_core.demand import Demand, Urgency
 from agateferry_scheduling.scheduler.messages import PendingRequest
 
-LARGE_ACCELERATORS = 8
-LARGE_MEMBERS = 4
-LEAST_GROUPS = 2
+LARGE_REQUEST_ACCELERATORS = 8
+LARGE_REQUEST_MEMBERS = 4
+MIN_GROUPS_PER_TEAM = 2
 
 
 @dataclass(frozen=True, slots=True)
 class RequestGroupKey:
-    """What alike requests have in common."""
+    """The properties that all requests of a group share."""
 
     team: str
     job: str
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class RequestGroup:
-    """Identical requests in submission order, and what the oldest waits for.
+    """Requests with the same key in submission order, and what the oldest waits for.
 
     `searched_position` is the position in the log of freed workers up to which the search for the
     oldest request found no placement; -1 makes the next search consider all workers.
@@ -44,27 +44,33 @@
     reclaim_tried_ms: int = -1
 
     def head(self) -> PendingRequest:
-        """Return the oldest request."""
+        """Return the oldest request of the group."""
         return next(iter(self.requests.values()))
 
 
 def group_key_of(request: PendingRequest) -> RequestGroupKey:
-    """Return the key of the group that a request belongs to."""
+    """Return the key of the group to which a request belongs."""
     return RequestGroupKey(
         request.team, request.job, request.urgency, request.demand, request.preemptible
     )
 
 
 def is_large(request: PendingRequest) -> bool:
-    """Tell whether a request is a gang that small work can starve."""
+    """Return whether a request is so large that small requests can starve it.
+
+    Urgent requests never count as large.
+    """
     demand = request.demand
     wanted = demand.members * demand.accelerators
-    large = wanted >= LARGE_ACCELERATORS or demand.members >= LARGE_MEMBERS
+    large = wanted >= LARGE_REQUEST_ACCELERATORS or demand.members >= LARGE_REQUEST_MEMBERS
     return large and request.urgency is not Urgency.URGENT
 
 
 class Queue:
-    """Keep waiting requests in groups, and count them for each team."""
+    """The groups of waiting requests, with counts by team and a heap of deadlines.
+
+    `by_team` maps urgency (True for urgent requests), then the team, to the team's groups.
+    """
 
     def __init__(self) -> None:
         self.groups: dict[RequestGroupKey, RequestGroup] = {}
@@ -81,9 +87,9 @@
         return len(self.group_by_request_id)
 
     def add(self, request: PendingRequest) -> RequestGroup:
-        """Add a request to its group; one that waits already stays as it is."""
-        waiting = self.group_by_request_id.get(request.request_id)
-        if waiting is not None:
+        """Add a request to its group; a request that is already queued stays unchanged."""
+        queued = self.group_by_request_id.get(request.request_id)
+        if queued is not None:
             return waiting
         key = group_key_of(request)
         group = self.groups.get(key)
@@ -105,7 +111,7 @@
         return group
 
     def remove(self, request_id: str) -> PendingRequest | None:
-        """Take a request out; return None when it does not wait."""
+        """Remove and return a request; return None when it is not queued."""
         group = self.group_by_request_id.pop(request_id, None)
         if group is None:
             return None
@@ -123,12 +129,12 @@
         return request
 
     def get(self, request_id: str) -> PendingRequest | None:
-        """Return a waiting request."""
+        """Return a queued request, or None."""
         group = self.group_by_request_id.get(request_id)
         return None if group is None else group.requests[request_id]
 
     def pop_expired(self, now_ms: int) -> list[PendingRequest]:
-        """Take out the requests whose deadline has come."""
+        """Remove and return the requests whose deadline has passed."""
         expired = []
         while self._deadlines and self._deadlines[0][0] <= now_ms:
             deadline_ms, request_id = heappop(self._deadlines)
@@ -139,18 +145,22 @@
         return expired
 
     def oldest_large(self) -> PendingRequest | None:
-        """Return the large request that waits longest."""
+        """Return the large request that has waited longest, or None."""
         heads = [group.head() for group in self._large.values()]
         return min(heads, key=lambda r: (r.submitted_ms, r.request_id), default=None)
 
     def next_groups(self, urgent: bool, team: str, limit: int) -> list[RequestGroup]:
-        """Return at least two groups of a team, the oldest and others in turn."""
+        """Return up to `limit` groups of a team (at least two): the first, then others in rotation.
+
+        The groups behind the first one that are returned move to the end, so that each group gets
+        its turn.
+        """
         groups = self.by_team[urgent].get(team)
         if not groups:
             return []
-        limit = max(limit, LEAST_GROUPS)
-        some = list(islice(groups.values(), limit))
+        limit = max(limit, MIN_GROUPS_PER_TEAM)
+        chosen = list(islice(groups.values(), limit))
         if len(groups) > limit:
-            for group in some[1:]:
+            for group in chosen[1:]:
                 groups.move_to_end(group.key)
-        return some
+        return chosen
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
@@ -1,8 +1,9 @@
-"""A reservation of workers for the oldest blocked gang, with backfill in front of it.
+"""A reservation of workers for the oldest blocked gang, with backfill before its start.
 
-This is EASY backfill (Lifka, 1995) with places: the gang is promised the workers that are likely to
-have room first, and others start on them only when they are likely to end before that time. Run
-times are the corrected ones, and work that overruns them on reserved workers yields.
+This is EASY backfill (Lifka, 1995) on named workers: the gang reserves the workers that are
+expected to be free first, and other requests start there only when they are expected to end before
+the gang's start. Run times are the corrected estimates; work that overruns its estimate on a
+reserved worker is preempted.
 """
 
 from dataclasses import dataclass
@@ -14,93 +15,96 @@
 from agateferry_scheduling.topology.amount import Amount
 from agateferry_scheduling.topology.state import capacity_for
 
-RACKS_WEIGHED = 4
+MAX_RACKS_CONSIDERED = 4
 FAR_FUTURE_MS = 1 << 60
 
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """The workers promised to a request, and when they are likely to have room."""
+    """The workers reserved for a request, and when it is expected to fit on them."""
 
     request: PendingRequest
     workers: frozenset[str]
     start_ms: int
     created_ms: int
 
-    def blocks(self, worker: str, ends_ms: int) -> bool:
-        """Tell whether others that are likely to end then may not start on a worker."""
-        return worker in self.workers and ends_ms > self.start_ms
+    def blocks(self, worker: str, end_ms: int) -> bool:
+        """Return whether other work that is expected to end then may not start on a worker."""
+        return worker in self.workers and end_ms > self.start_ms
 
 
 def reserve(
     topology: Topology, estimates: Estimates, request: PendingRequest, now_ms: int
 ) -> Reservation | None:
-    """Return the reservation that is likely to start the request first, or None."""
+    """Return the reservation with the earliest expected start of the request, or None."""
     best: Reservation | None = None
-    for workers in _places(topology, request.demand):
-        option = _soonest(topology, estimates, request, workers, now_ms)
+    for workers in _worker_groups(topology, request.demand):
+        option = _earliest_start(topology, estimates, request, workers, now_ms)
         if option is not None and (best is None or option.start_ms < best.start_ms):
             best = option
     return best
 
 
-def _places(topology: Topology, demand: Demand) -> list[list[WorkerState]]:
+def _worker_groups(topology: Topology, demand: Demand) -> list[list[WorkerState]]:
     racks = sorted(topology.racks.values(), key=lambda rack: -rack.free_accelerators)
     if demand.adjacency is Adjacency.ANY:
-        return [_enough(topology, demand)]
+        return [_freest_workers(topology, demand)]
     groups = [[w for w in rack.workers.values() if w.is_schedulable()] for rack in racks]
     if demand.adjacency is Adjacency.RACK:
-        return groups[:RACKS_WEIGHED]
-    return [[worker] for group in groups[:RACKS_WEIGHED] for worker in group]
+        return groups[:MAX_RACKS_CONSIDERED]
+    return [[worker] for group in groups[:MAX_RACKS_CONSIDERED] for worker in group]
 
 
-def _enough(topology: Topology, demand: Demand) -> list[WorkerState]:
-    """Return the freest workers that, empty, would hold twice the demand."""
+def _freest_workers(topology: Topology, demand: Demand) -> list[WorkerState]:
+    """Return workers with the most free resources, enough to hold twice the demand when empty."""
     workers = topology.index.accelerated if demand.accelerators else topology.workers
     ordered = sorted(
         workers.values(), key=lambda w: (-w.free_accelerators, -w.free_slots, w.join_number)
     )
-    enough = []
+    chosen = []
     capacity = 0
     for worker in ordered:
         if worker.is_schedulable():
-            enough.append(worker)
+            chosen.append(worker)
             capacity += capacity_for(worker.worker, demand)
         if capacity >= 2 * demand.members:
             break
-    return enough
+    return chosen
 
 
-def _soonest(
+def _earliest_start(
     topology: Topology,
     estimates: Estimates,
     request: PendingRequest,
     workers: list[WorkerState],
     now_ms: int,
 ) -> Reservation | None:
-    """Let the running work of these workers end in its likely order until the gang fits."""
+    """Simulate the expected ends of the work on these workers until the gang fits.
+
+    Return a reservation of the fewest workers that then hold the gang, or None if it never fits.
+    """
     demand = request.demand
-    room: dict[str, Amount] = {worker.name: worker.free_including_pending() for worker in workers}
-    fits = {name: amount.fitting_members(demand) for name, amount in room.items()}
-    total = sum(fits.values())
+    free: dict[str, Amount] = {worker.name: worker.free_including_pending() for worker in workers}
+    fitting = {name: amount.fitting_members(demand) for name, amount in free.items()}
+    total = sum(fitting.values())
     start_ms = now_ms
-    for end_ms, request_id in _ends(topology, estimates, workers, now_ms):
+    for end_ms, request_id in _expected_ends(topology, estimates, workers, now_ms):
         if total >= demand.members:
             break
         allocation = topology.allocations[request_id]
-        for name in allocation.member_counts.keys() & room.keys():
-            room[name].add(allocation.request.demand, allocation.member_counts[name])
-            total -= fits[name]
-            fits[name] = room[name].fitting_members(demand)
-            total += fits[name]
+        for name in allocation.member_counts.keys() & free.keys():
+            free[name].add(allocation.request.demand, allocation.member_counts[name])
+            total -= fitting[name]
+            fitting[name] = free[name].fitting_members(demand)
+            total += fitting[name]
         start_ms = end_ms
     if total < demand.members:
         return None
-    chosen = _fewest(fits, demand.members)
+    chosen = _fewest_workers(fitting, demand.members)
     return Reservation(request, frozenset(chosen), start_ms, now_ms)
 
 
-def _ends(
+def _expected_ends(
     topology: Topology, estimates: Estimates, workers: list[WorkerState], now_ms: int
 ) -> list[tuple[int, str]]:
     ids = {request_id for worker in workers for request_id in worker.request_ids}
@@ -114,11 +118,11 @@
     return sorted(ends)
 
 
-def _fewest(fits: dict[str, int], members: int) -> list[str]:
+def _fewest_workers(fitting: dict[str, int], members: int) -> list[str]:
     chosen = []
-    for name, room in sorted(fits.items(), key=lambda item: -item[1]):
+    for name, count in sorted(fitting.items(), key=lambda item: -item[1]):
         if members <= 0:
             break
         chosen.append(name)
-        members -= room
+        members -= count
     return chosen
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_queue.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_queue.py
@@ -7,7 +7,7 @@
 
 
 class QueueTests(testtools.TestCase):
-    def test_alike_requests_form_a_group_in_their_order(self):
+    def test_requests_with_the_same_key_form_a_group_in_submission_order(self):
         queue = Queue()
         group = queue.add(request("x1", at_ms=1))
         queue.add(request("x2", at_ms=2))
@@ -16,19 +16,19 @@
         self.assertEqual("x2", group.head().request_id)
         self.assertEqual((1, 1), (len(queue), queue.count_by_team["a"]))
 
-    def test_no_group_is_left_out_for_ever(self):
+    def test_every_group_gets_its_turn(self):
         queue = Queue()
         for number in range(5):
             queue.add(request(f"x{number}", job=f"j{number}"))
         seen = {g.key.job for _ in range(4) for g in queue.next_groups(False, "a", 1)}
         self.assertEqual(5, len(seen))
 
-    def test_a_request_that_comes_back_goes_first(self):
+    def test_an_older_request_that_is_queued_again_goes_first(self):
         queue = Queue()
         queue.add(request("x2", at_ms=2))
         self.assertEqual("x1", queue.add(request("x1", at_ms=1)).head().request_id)
 
-    def test_groups_left_out_come_first_next_time(self):
+    def test_skipped_groups_come_first_next_time(self):
         queue = Queue()
         for number in range(4):
             queue.add(request(f"x{number}", job=f"j{number}"))
@@ -36,7 +36,7 @@
         second = [group.key.job for group in queue.next_groups(False, "a", 3)]
         self.assertEqual((["j0", "j1"], ["j0", "j2", "j3"]), (first, second))
 
-    def test_expired_requests_leave(self):
+    def test_expired_requests_are_removed(self):
         queue = Queue()
         queue.add(request("x1", deadline_ms=10))
         queue.add(request("x2", deadline_ms=20))
@@ -67,6 +67,6 @@
         shares.charge("b", Demand(members=2, accelerators=4), -1)
         self.assertEqual(0.0, shares.dominant_share("b", 16, 16))
 
-    def test_waiting_makes_up_for_a_larger_share(self):
+    def test_waiting_outweighs_a_larger_share(self):
         shares = TeamShares()
         self.assertTrue(shares.rank(0.5, 3 * 3_600_000) < shares.rank(0.0, 0))
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_reservation.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_reservation.py
@@ -15,17 +15,17 @@
         self.gang = request("g", members=2, accelerators=8, adjacency=Adjacency.RACK)
         self.estimates = Estimates()
 
-    def test_the_rack_that_is_likely_to_be_free_first_is_kept(self):
-        kept = reserve(self.zone.zone.topology, self.estimates, self.gang, 0)
-        racks = {self.zone.zone.topology.workers[n].worker.rack for n in kept.workers}
-        self.assertEqual((4_000, 1), (kept.start_ms, len(racks)))
-        [name] = list(kept.workers)[:1]
-        self.assertTrue(kept.blocks(name, 4_001))
-        self.assertFalse(kept.blocks(name, 4_000))
-        self.assertFalse(kept.blocks("elsewhere", 9_000))
+    def test_the_rack_that_is_expected_to_be_free_first_is_reserved(self):
+        reservation = reserve(self.zone.zone.topology, self.estimates, self.gang, 0)
+        racks = {self.zone.zone.topology.workers[n].worker.rack for n in reservation.workers}
+        self.assertEqual((4_000, 1), (reservation.start_ms, len(racks)))
+        [name] = list(reservation.workers)[:1]
+        self.assertTrue(reservation.blocks(name, 4_001))
+        self.assertFalse(reservation.blocks(name, 4_000))
+        self.assertFalse(reservation.blocks("elsewhere", 9_000))
 
-    def test_learned_run_times_move_it(self):
+    def test_learned_run_times_move_the_expected_start(self):
         for _ in range(20):
             self.estimates.learn(request("x", run_ms=1_000), 10_000)
-        kept = reserve(self.zone.zone.topology, self.estimates, self.gang, 0)
-        self.assertTrue(39_000 < kept.start_ms < 41_000)
+        reservation = reserve(self.zone.zone.topology, self.estimates, self.gang, 0)
+        self.assertTrue(39_000 < reservation.start_ms < 41_000)
