--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/queue.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/queue.py
@@ -90,7 +90,7 @@
         """Add a request to its group; a request that is already queued stays unchanged."""
         queued = self.group_by_request_id.get(request.request_id)
         if queued is not None:
-            return waiting
+            return queued
         key = group_key_of(request)
         group = self.groups.get(key)
         if group is None:
