--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Where to put a request, among the workers that have room."""
+"""The choice of workers for a request, by the cost of the placement."""
 
 from agateferry_scheduling.placement.first_fit import first_fit
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/choice.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/choice.py
@@ -1,4 +1,4 @@
-"""Choose workers for a whole gang from candidates with room and a cost."""
+"""The choice of workers for a whole gang among candidates with a cost."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A worker with room for so many members; a lower cost is better."""
+    """A worker, how many members fit on it and the cost of each; a lower cost is better."""
 
     state: WorkerState
     fitting_members: int
@@ -19,22 +19,22 @@
 
 
 def choose(candidates: Iterable[Candidate], demand: Demand) -> MemberCounts | None:
-    """Return how many members go to which worker, or None when the whole gang does not fit.
+    """Return the member counts by worker, or None when the whole gang does not fit.
 
-    A gang that may spread still goes to one rack where one has room, because fewer racks are then
-    broken into.
+    A gang that may span racks still goes to a single rack if it fits into one, because fewer racks
+    are then partly used.
     """
     if demand.members == 1 or demand.adjacency is Adjacency.WORKER:
         return _one_worker(candidates, demand)
     racks: dict[str, list[Candidate]] = defaultdict(list)
     for candidate in candidates:
         racks[candidate.state.worker.rack].append(candidate)
-    fitting = [rack for rack in racks.values() if _room(rack) >= demand.members]
+    fitting = [rack for rack in racks.values() if _fitting_members(rack) >= demand.members]
     if fitting:
-        return _fill(min(fitting, key=lambda rack: _cost(rack, demand)), demand)
+        return _fill(min(fitting, key=lambda rack: _rack_cost(rack, demand)), demand)
     if demand.adjacency is Adjacency.RACK:
         return None
-    return _fill_racks(sorted(racks.values(), key=_room, reverse=True), demand)
+    return _fill_racks(sorted(racks.values(), key=_fitting_members, reverse=True), demand)
 
 
 def _one_worker(candidates: Iterable[Candidate], demand: Demand) -> MemberCounts | None:
@@ -47,31 +47,31 @@
     return None if best is None else {best.state.name: demand.members}
 
 
-def _room(rack: list[Candidate]) -> int:
+def _fitting_members(rack: list[Candidate]) -> int:
     return sum(candidate.fitting_members for candidate in rack)
 
 
-def _cost(rack: list[Candidate], demand: Demand) -> tuple[float, int]:
-    """Weigh a rack by its cheapest workers first and then by the room left over."""
+def _rack_cost(rack: list[Candidate], demand: Demand) -> tuple[float, int]:
+    """Return the sort key of a rack: the cost on its cheapest workers, then what fits in all."""
     missing = demand.members
     cost = 0.0
-    for candidate in sorted(rack, key=_order):
+    for candidate in sorted(rack, key=_candidate_cost):
         taken = min(candidate.fitting_members, missing)
         cost += candidate.cost * taken
         missing -= taken
         if missing == 0:
             break
-    return cost, _room(rack)
+    return cost, _fitting_members(rack)
 
 
-def _order(candidate: Candidate) -> tuple[float, int]:
+def _candidate_cost(candidate: Candidate) -> tuple[float, int]:
     return candidate.cost, candidate.state.join_number
 
 
 def _fill(rack: list[Candidate], demand: Demand) -> MemberCounts:
     counts: MemberCounts = {}
     missing = demand.members
-    for candidate in sorted(rack, key=_order):
+    for candidate in sorted(rack, key=_candidate_cost):
         taken = min(candidate.fitting_members, missing)
         counts[candidate.state.name] = taken
         missing -= taken
@@ -84,7 +84,7 @@
     counts: MemberCounts = {}
     missing = demand.members
     for rack in racks:
-        for candidate in sorted(rack, key=_order):
+        for candidate in sorted(rack, key=_candidate_cost):
             taken = min(candidate.fitting_members, missing)
             counts[candidate.state.name] = taken
             missing -= taken
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/compaction.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/compaction.py
@@ -1,9 +1,9 @@
-"""Move small work that can checkpoint, so that whole workers and racks come free again.
+"""Compaction: moves small checkpointable work so that whole workers and racks become free again.
 
-Suspending a job and going on elsewhere is the migration of Gandiva (Xiao et al., OSDI 2018). A move
-is worth while when it makes the sum of the squares of free accelerators larger, by worker and by
-rack: free accelerators then lie closer together. As that sum only grows by moves, they come to an
-end.
+Suspending a job and resuming it elsewhere is the migration of Gandiva (Xiao et al., OSDI 2018). A
+move is worthwhile when it increases the sum of the squares of free accelerators, by worker and by
+rack: free accelerators are then less scattered. Moves only ever increase that sum, so compaction
+terminates.
 """
 
 from collections import defaultdict
@@ -14,16 +14,16 @@
 from agateferry_scheduling.placement.first_fit import MemberCounts
 from agateferry_scheduling.topology import Allocation, Backing, Topology, WorkerState
 
-WORKERS_WEIGHED = 16
-MOVES_WEIGHED = 12
-LARGEST_MOVED = 16
-SHORTEST_RUN_MS = 60_000
-SMALLEST_GAIN = 0.5
+MAX_WORKERS_CONSIDERED = 16
+MAX_MOVES_CONSIDERED = 12
+MAX_MOVED_ACCELERATORS = 16
+MIN_RUN_BEFORE_MOVE_MS = 60_000
+MIN_GAIN = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """A running allocation, where it goes, and how much closer free accelerators then lie."""
+    """A running allocation, its new workers and the gain in the sum of squares."""
 
     allocation: Allocation
     member_counts: MemberCounts
@@ -31,24 +31,28 @@
 
 
 def best_move(
-    topology: Topology, now_ms: int, moved_ms: dict[str, int], gap_ms: int
+    topology: Topology, now_ms: int, last_moved_ms: dict[str, int], min_gap_ms: int
 ) -> Move | None:
-    """Return the move with the largest gain for its size, or None when none is worth while."""
+    """Return the move with the largest gain, or None when no move is worthwhile.
+
+    `last_moved_ms` maps a request to the time of its last move; a request that moved less than
+    `min_gap_ms` ago is not considered.
+    """
     best: Move | None = None
-    for allocation in _movable(topology, now_ms, moved_ms, gap_ms):
-        counts = _target(topology, allocation)
+    for allocation in _movable(topology, now_ms, last_moved_ms, min_gap_ms):
+        counts = _new_placement(topology, allocation)
         if counts is None:
             continue
         gain = _gain(topology, allocation, counts)
-        if gain >= SMALLEST_GAIN and (best is None or gain > best.gain):
+        if gain >= MIN_GAIN and (best is None or gain > best.gain):
             best = Move(allocation, counts, gain)
     return best
 
 
 def _movable(
-    topology: Topology, now_ms: int, moved_ms: dict[str, int], gap_ms: int
+    topology: Topology, now_ms: int, last_moved_ms: dict[str, int], min_gap_ms: int
 ) -> list[Allocation]:
-    """Return checkpointable allocations on the least used of the partly used racks' workers."""
+    """Return movable allocations on the partly used workers with the most free accelerators."""
     workers = topology.index.accelerated.values()
     used = [
         w
@@ -56,28 +60,31 @@
         if w.worker.accelerators > w.free_accelerators >= 0 and w.is_schedulable()
     ]
     used.sort(key=lambda w: (-w.free_accelerators, w.join_number))
-    found: dict[str, Allocation] = {}
-    for state in used[:WORKERS_WEIGHED]:
+    movable: dict[str, Allocation] = {}
+    for state in used[:MAX_WORKERS_CONSIDERED]:
         for request_id in sorted(state.request_ids):
             allocation = topology.allocations[request_id]
-            if not _may_move(allocation) or now_ms - allocation.started_ms < SHORTEST_RUN_MS:
+            if (
+                not _is_movable(allocation)
+                or now_ms - allocation.started_ms < MIN_RUN_BEFORE_MOVE_MS
+            ):
                 continue
-            if now_ms - moved_ms.get(request_id, -gap_ms) >= gap_ms:
-                found[request_id] = allocation
-        if len(found) >= MOVES_WEIGHED:
+            if now_ms - last_moved_ms.get(request_id, -min_gap_ms) >= min_gap_ms:
+                movable[request_id] = allocation
+        if len(movable) >= MAX_MOVES_CONSIDERED:
             break
-    return list(found.values())
+    return list(movable.values())
 
 
-def _may_move(allocation: Allocation) -> bool:
+def _is_movable(allocation: Allocation) -> bool:
     request = allocation.request
     wanted = request.demand.members * request.demand.accelerators
     busy = allocation.stopping or allocation.pending or allocation.backing is Backing.PINNED
     can_stop = request.preemptible and request.checkpointable
-    return can_stop and not busy and 0 < wanted <= LARGEST_MOVED
+    return can_stop and not busy and 0 < wanted <= MAX_MOVED_ACCELERATORS
 
 
-def _target(topology: Topology, allocation: Allocation) -> MemberCounts | None:
+def _new_placement(topology: Topology, allocation: Allocation) -> MemberCounts | None:
     demand = allocation.request.demand
     candidates = []
     for state in topology.index.accelerated.values():
@@ -85,15 +92,15 @@
             continue
         if state.name in allocation.member_counts:
             continue
-        room = state.fitting_members(demand)
-        if room:
+        fitting = state.fitting_members(demand)
+        if fitting:
             rack = topology.racks[state.worker.rack]
-            candidates.append(Candidate(state, room, placement_cost(state, rack, demand)))
+            candidates.append(Candidate(state, fitting, placement_cost(state, rack, demand)))
     return choose(candidates, demand)
 
 
 def _gain(topology: Topology, allocation: Allocation, counts: MemberCounts) -> float:
-    """Return the growth of the sum of squares, by worker and by rack, in accelerators."""
+    """Return how much the sum of squares grows over workers and racks, each by its size."""
     accelerators = allocation.request.demand.accelerators
     change: dict[str, int] = defaultdict(int)
     for name, members in allocation.member_counts.items():
@@ -102,21 +109,21 @@
         change[name] -= members * accelerators
     racks: dict[str, int] = defaultdict(int)
     gain = 0.0
-    for name, by in change.items():
+    for name, delta in change.items():
         state = topology.workers.get(name)
         if state is None:
             return 0.0
-        racks[state.worker.rack] += by
-        gain += _growth(_free(state), by, state.worker.accelerators)
-    for name, by in racks.items():
+        racks[state.worker.rack] += delta
+        gain += _growth_of_square(_free_accelerators(state), delta, state.worker.accelerators)
+    for name, delta in racks.items():
         rack = topology.racks[name]
-        gain += _growth(rack.free_accelerators, by, rack.accelerators)
+        gain += _growth_of_square(rack.free_accelerators, delta, rack.accelerators)
     return gain
 
 
-def _free(state: WorkerState) -> int:
+def _free_accelerators(state: WorkerState) -> int:
     return max(state.free_accelerators, 0)
 
 
-def _growth(free: int, by: int, whole: int) -> float:
-    return ((free + by) ** 2 - free**2) / max(whole, 1)
+def _growth_of_square(free: int, delta: int, whole: int) -> float:
+    return ((free + delta) ** 2 - free**2) / max(whole, 1)
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
@@ -1,4 +1,4 @@
-"""First fit: take the first workers with room, in the order in which they joined."""
+"""First fit: use the first workers on which the demand fits, in the order in which they joined."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,7 @@
 
 
 def assignments_of(demand: Demand, counts: MemberCounts) -> tuple[Assignment, ...]:
-    """Number the members worker by worker, for example {"w1": 2} gives members 0 and 1 on w1."""
+    """Number the members worker by worker; for example {"w1": 2} puts members 0 and 1 on w1."""
     names = [name for name, count in counts.items() for _ in range(count)]
     return tuple(
         Assignment(member=member, worker=name, accelerators=demand.accelerators)
@@ -18,7 +18,7 @@
 
 
 def first_fit(topology: Topology, demand: Demand) -> MemberCounts | None:
-    """Return how many members go to which worker, or None when the whole gang does not fit."""
+    """Return the member counts by worker, or None when the whole gang does not fit."""
     if demand.adjacency is Adjacency.ANY:
         return _fill(topology.schedulable_workers(), demand)
     if demand.adjacency is Adjacency.RACK:
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/stranding.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/stranding.py
@@ -1,7 +1,7 @@
 """How many free accelerators a placement strands.
 
-Free accelerators are stranded for a group size when they would serve such groups if they lay
-together, and do not where they lie. docs/design/measures.md defines the measure.
+Free accelerators are stranded for a group size when they are too scattered to hold groups that
+would fit if they were together. docs/design/measures.md defines the measure.
 """
 
 from collections import defaultdict
@@ -13,34 +13,36 @@
 
 
 def largest_rack_group(layout: Layout) -> int:
-    """Return the largest group of accelerators that is promised within one rack, or 0."""
+    """Return the size of the largest group that is guaranteed within one rack, or 0."""
     groups = (cell.accelerators for cell in layout.cells if cell.adjacency is Adjacency.RACK)
     return max(groups, default=0)
 
 
 def stranding_change(topology: Topology, demand: Demand, counts: MemberCounts, group: int) -> float:
-    """Return by how many accelerators a placement changes what is stranded.
+    """Return by how many accelerators a placement changes the number of stranded ones.
 
-    It is the mean for groups of a whole worker and for groups of `group` within a rack.
+    The result is the mean over groups of a whole worker and groups of `group` within a rack.
     """
     free = topology.free_accelerators
     taken = demand.accelerators * demand.members
     racks: dict[str, int] = defaultdict(int)
-    by_worker = 0
+    worker_loss = 0
     size = 1
     for name, members in counts.items():
         state = topology.workers[name]
         size = max(state.worker.accelerators, 1)
-        by = members * demand.accelerators
-        racks[state.worker.rack] += by
-        by_worker += _fall(state.free_accelerators, by, size)
-    change = by_worker - _fall(free, taken, size)
+        used = members * demand.accelerators
+        racks[state.worker.rack] += used
+        worker_loss += _group_loss(state.free_accelerators, used, size)
+    change = worker_loss - _group_loss(free, taken, size)
     if not group:
         return float(change)
-    by_rack = sum(_fall(topology.racks[r].free_accelerators, by, group) for r, by in racks.items())
-    return (change + by_rack - _fall(free, taken, group)) / 2
+    rack_loss = sum(
+        _group_loss(topology.racks[r].free_accelerators, used, group) for r, used in racks.items()
+    )
+    return (change + rack_loss - _group_loss(free, taken, group)) / 2
 
 
-def _fall(free: int, by: int, size: int) -> int:
-    """Return by how much the whole groups of a size within `free` fall."""
-    return (max(free, 0) // size - max(free - by, 0) // size) * size
+def _group_loss(free: int, used: int, size: int) -> int:
+    """Return how many free accelerators in whole groups of `size` are lost when some are used."""
+    return (max(free, 0) // size - max(free - used, 0) // size) * size
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_compaction.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_compaction.py
@@ -14,7 +14,7 @@
 HOUR_MS = 3_600_000
 
 
-class MovingTests(testtools.TestCase):
+class CompactionTests(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.zone = scheduler(racks=1, per_rack=3)
@@ -37,7 +37,7 @@
         self.assertEqual(4, topology.workers[target].free_accelerators)
         self.assertTrue(move.gain > 0)
 
-    def test_moved_work_starts_again_where_it_was_to_go(self):
+    def test_moved_work_resumes_on_its_target(self):
         preempt = self.begin()
         self.assertEqual(preempt.request_id, preempt.for_request_id)
         self.assertEqual([], of_type(self.end(preempt.request_id), Start))
@@ -46,13 +46,13 @@
         [name] = {a.worker for a in start.assignments}
         self.assertEqual(0, self.zone.zone.topology.workers[name].free_accelerators)
 
-    def test_a_cancelled_move_gives_the_target_back(self):
+    def test_a_cancelled_move_frees_its_target(self):
         preempt = self.begin()
         self.zone.step(RequestEnded(preempt.request_id, EndReason.CANCELLED, 1), HOUR_MS + 1)
         self.zone.step(RequestWithdrawn(preempt.request_id), HOUR_MS + 1)
         self.assertEqual(20, self.zone.zone.topology.free_accelerators)
 
-    def test_what_cannot_checkpoint_stays(self):
+    def test_work_without_checkpoints_is_not_moved(self):
         zone = scheduler(racks=1, per_rack=3)
         for name in ("x1", "y1", "x2", "y2"):
             queue(zone, request(name, accelerators=4))
