--- a/packages/agateferry-scheduling/agateferry_scheduling/health/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/health/__init__.py
@@ -1,4 +1,4 @@
-"""Which workers and jobs fail."""
+"""The tracking of failing workers and jobs."""
 
 from agateferry_scheduling.health.health import HealthTracker
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/health/tests/test_health.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/health/tests/test_health.py
@@ -18,13 +18,13 @@
         [quarantine] = self.fail("x3", "j3", "w")
         self.assertEqual(("w", False), (quarantine.worker, quarantine.lifted))
 
-    def test_a_success_in_between_forgives(self):
+    def test_a_success_resets_the_count_of_failures(self):
         self.fail("x1", "j1", "w")
         self.fail("x2", "j2", "w")
         self.health.record_success(request("x3"), ("w",))
         self.assertEqual([], self.fail("x4", "j1", "w"))
 
-    def test_a_job_that_fails_everywhere_is_not_laid_to_workers(self):
+    def test_a_job_that_fails_everywhere_does_not_count_against_workers(self):
         for _ in range(3):
             self.fail("x", "bad", "w1")
         self.assertTrue(self.health.is_quarantined("w1"))
@@ -34,7 +34,7 @@
         self.assertTrue(self.health.fails_everywhere("x"))
         self.assertFalse(self.health.is_quarantined("w1"))
 
-    def test_probes_come_one_at_a_time_and_ever_later(self):
+    def test_probes_run_one_at_a_time_with_growing_delay(self):
         for number in range(3):
             self.fail(f"x{number}", f"j{number}", "w")
         self.assertIs(None, self.health.probe_due(59_999))
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/__init__.py
@@ -1,1 +1,1 @@
-"""What to take back, and for whom."""
+"""Which work to preempt for a request, and the claims of requests that wait for it to stop."""
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/tests/test_victims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/tests/test_victims.py
@@ -26,7 +26,7 @@
     def victims(self, plan):
         return sorted(victim.request.request_id for victim in plan.victims)
 
-    def test_the_least_work_is_lost(self):
+    def test_victims_lose_the_least_work(self):
         self.fill(
             request("old", accelerators=4),
             request("saved", accelerators=2, checkpointable=True),
@@ -35,23 +35,23 @@
         self.assertEqual(["new"], self.victims(self.plan(Demand(accelerators=2))))
         self.assertEqual(["new", "saved"], self.victims(self.plan(Demand(accelerators=4))))
 
-    def test_what_turns_out_not_to_be_needed_goes_on(self):
+    def test_a_victim_that_is_not_needed_keeps_running(self):
         self.fill(
             request("small", accelerators=1, at_ms=NOW_MS - 1),
             request("large", accelerators=7, at_ms=NOW_MS - 500),
         )
         self.assertEqual(["large"], self.victims(self.plan(Demand(accelerators=7))))
 
-    def test_urgent_work_is_taken_last(self):
+    def test_urgent_work_is_preempted_last(self):
         self.fill(
             request("u", urgency=Urgency.URGENT, accelerators=4, at_ms=NOW_MS - 1),
             request("long", accelerators=4),
         )
         self.assertEqual(["long"], self.victims(self.plan(Demand(accelerators=4))))
 
-    def test_work_that_may_not_stop_is_no_victim(self):
+    def test_work_that_is_not_preemptible_is_no_victim(self):
         self.fill(request("pinned", accelerators=8, preemptible=False))
         self.assertIs(None, self.plan(Demand(accelerators=1)))
 
-    def test_nothing_stops_where_there_is_room(self):
+    def test_nothing_stops_where_the_demand_fits(self):
         self.assertEqual([], self.victims(self.plan(Demand(accelerators=8))))
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
@@ -1,4 +1,4 @@
-"""Which borrowed work to take back so that a demand fits, with the least work lost."""
+"""The choice of victims: the borrowed work to preempt for a demand, with the least work lost."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,16 +15,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PreemptionPlan:
-    """The allocations to stop, and the work that is lost with them in slot-milliseconds."""
+    """The allocations to stop, and the work that is lost with them.
+
+    `lost_work_ms` is in slot-milliseconds, or accelerator-milliseconds for accelerated work.
+    """
 
     victims: tuple[Allocation, ...]
     lost_work_ms: int
 
 
 def lost_work_ms(allocation: Allocation, now_ms: int) -> int:
-    """Return the work lost by stopping now, in slot- or accelerator-milliseconds.
+    """Return the work that is lost by stopping now, in slot- or accelerator-milliseconds.
 
-    Work that checkpoints loses only the time that the checkpoint takes.
+    Checkpointable work loses no more than the time that a checkpoint takes. Urgent work gets a
+    penalty, so that it is preempted last.
     """
     demand = allocation.request.demand
     width = demand.members * max(demand.accelerators, 1)
@@ -43,22 +47,26 @@
     allowed: VictimFilter,
     now_ms: int,
 ) -> PreemptionPlan | None:
-    """Return what to stop so that so many members fit on one worker, or None."""
+    """Return what to stop so that this many members fit on one worker, or None if they cannot.
+
+    Resources of work that is already stopping count as free. `allowed` decides whether an
+    allocation may be a victim.
+    """
     needed = Amount()
     needed.add(demand, members)
-    room = state.free().plus(state.stopping)
-    if not room.minus(needed).is_negative():
+    free = state.free().plus(state.stopping)
+    if not free.minus(needed).is_negative():
         return PreemptionPlan((), 0)
-    victims = _candidates(topology, state, allowed, now_ms)
+    candidates = _candidates(topology, state, allowed, now_ms)
     chosen: list[tuple[int, Allocation]] = []
-    for lost, allocation in victims:
-        part = _part(allocation, state)
-        if not _helps(room.minus(needed), part):
+    for lost, allocation in candidates:
+        resources = _resources_on(allocation, state)
+        if not _reduces_shortage(free.minus(needed), resources):
             continue
-        room = room.plus(part)
+        free = free.plus(resources)
         chosen.append((lost, allocation))
-        if not room.minus(needed).is_negative():
-            return _pruned(state, chosen, room.minus(needed))
+        if not free.minus(needed).is_negative():
+            return _without_unneeded(state, chosen, free.minus(needed))
     return None
 
 
@@ -68,38 +76,41 @@
     found = []
     for request_id in state.request_ids:
         allocation = topology.allocations[request_id]
-        taken_back = allocation.backing is Backing.BORROWED
-        if taken_back and not (allocation.stopping or allocation.pending) and allowed(allocation):
+        is_borrowed = allocation.backing is Backing.BORROWED
+        if is_borrowed and not (allocation.stopping or allocation.pending) and allowed(allocation):
             found.append((lost_work_ms(allocation, now_ms), allocation))
     found.sort(key=lambda item: (item[0], item[1].request.request_id))
     return found
 
 
-def _part(allocation: Allocation, state: WorkerState) -> Amount:
-    part = Amount()
-    part.add(allocation.request.demand, allocation.member_counts[state.name])
-    return part
+def _resources_on(allocation: Allocation, state: WorkerState) -> Amount:
+    resources = Amount()
+    resources.add(allocation.request.demand, allocation.member_counts[state.name])
+    return resources
 
 
-def _helps(left: Amount, part: Amount) -> bool:
+def _reduces_shortage(balance: Amount, resources: Amount) -> bool:
     return (
-        (left.accelerators < 0 and part.accelerators > 0)
-        or (left.slots < 0 and part.slots > 0)
-        or (left.cpu < 0 and part.cpu > 0)
-        or (left.memory < 0 and part.memory > 0)
+        (balance.accelerators < 0 and resources.accelerators > 0)
+        or (balance.slots < 0 and resources.slots > 0)
+        or (balance.cpu < 0 and resources.cpu > 0)
+        or (balance.memory < 0 and resources.memory > 0)
     )
 
 
-def _pruned(
+def _without_unneeded(
     state: WorkerState, chosen: list[tuple[int, Allocation]], spare: Amount
 ) -> PreemptionPlan:
-    """Let the dearest of the chosen go on where the others are enough."""
-    kept: list[tuple[int, Allocation]] = []
+    """Return the plan without the victims that are not needed, dropping the costliest first.
+
+    `spare` is what remains free beyond the need when all chosen victims stop.
+    """
+    needed: list[tuple[int, Allocation]] = []
     for lost, allocation in reversed(chosen):
-        without = spare.minus(_part(allocation, state))
-        if without.is_negative():
-            kept.append((lost, allocation))
+        spare_without = spare.minus(_resources_on(allocation, state))
+        if spare_without.is_negative():
+            needed.append((lost, allocation))
         else:
-            spare = without
-    kept.reverse()
-    return PreemptionPlan(tuple(a for _, a in kept), sum(lost for lost, _ in kept))
+            spare = spare_without
+    needed.reverse()
+    return PreemptionPlan(tuple(a for _, a in needed), sum(lost for lost, _ in needed))
