--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/__init__.py
@@ -1,4 +1,4 @@
-"""Where a zone's accelerators are, what is adjacent, and what is placed on them."""
+"""The racks and workers of a zone, their free resources and the allocations on them."""
 
 from agateferry_scheduling.topology.state import (
     Allocation,
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/amount.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/amount.py
@@ -1,4 +1,4 @@
-"""Amounts of the four things that a worker gives: accelerators, slots, processor and memory."""
+"""Sums of the four resources of a worker: accelerators, slots, processor cores and memory."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class Amount:
-    """So many accelerators, slots, processor cores and MB of memory; parts may be negative."""
+    """Numbers of accelerators, slots, processor cores and MB of memory; each may be negative."""
 
     accelerators: int = 0
     slots: int = 0
@@ -15,14 +15,14 @@
     memory: int = 0
 
     def add(self, demand: Demand, members: int) -> None:
-        """Add the share of so many members; a negative number takes it away."""
+        """Add the demand of this many members; a negative number subtracts it."""
         self.accelerators += demand.accelerators * members
         self.slots += members
         self.cpu += demand.cpu_cores * members
         self.memory += demand.memory_mb * members
 
     def minus(self, other: "Amount") -> "Amount":
-        """Return what is left after taking the other amount away."""
+        """Return the difference, resource by resource."""
         return Amount(
             self.accelerators - other.accelerators,
             self.slots - other.slots,
@@ -31,7 +31,7 @@
         )
 
     def plus(self, other: "Amount") -> "Amount":
-        """Return the sum of both amounts."""
+        """Return the sum, resource by resource."""
         return Amount(
             self.accelerators + other.accelerators,
             self.slots + other.slots,
@@ -40,31 +40,32 @@
         )
 
     def is_negative(self) -> bool:
-        """Tell whether any part lies below zero."""
+        """Return whether any resource is below zero."""
         return min(self.accelerators, self.slots, self.cpu, self.memory) < 0
 
     def fitting_members(self, demand: Demand) -> int:
-        """Return how many members of the demand fit."""
-        room = min(self.slots, demand.members)
+        """Return how many members of the demand fit, at most all of them."""
+        fitting = min(self.slots, demand.members)
         if demand.accelerators:
-            room = min(room, self.accelerators // demand.accelerators)
+            fitting = min(fitting, self.accelerators // demand.accelerators)
         if demand.cpu_cores:
-            room = min(room, self.cpu // demand.cpu_cores)
+            fitting = min(fitting, self.cpu // demand.cpu_cores)
         if demand.memory_mb:
-            room = min(room, self.memory // demand.memory_mb)
-        return max(room, 0)
+            fitting = min(fitting, self.memory // demand.memory_mb)
+        return max(fitting, 0)
 
 
 def total_resources(worker: Worker) -> Amount:
-    """Return all that a worker gives."""
+    """Return the whole capacity of a worker."""
     return Amount(worker.accelerators, worker.slots, worker.cpu_cores, worker.memory_mb)
 
 
 def proportional_resources(worker: Worker, accelerators: int) -> Amount:
-    """Return what goes with so many of a worker's accelerators.
+    """Return the part of a worker's resources that belongs to this many of its accelerators.
 
-    Processor and memory go in proportion, and one slot goes with each accelerator. For example two
-    of eight accelerators on a worker with 32 cores come with 8 cores and 2 slots.
+    Cores and memory are divided in proportion, and so are slots, with at most one slot for each
+    accelerator. For example two of eight accelerators on a worker with 32 cores and 8 slots come
+    with 8 cores and 2 slots.
     """
     if worker.accelerators == 0:
         return Amount()
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/feasible.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/feasible.py
@@ -1,4 +1,4 @@
-"""Whether a zone could ever run a demand, were all its workers empty."""
+"""Whether the workers of a zone could hold a demand if they were all empty."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -10,25 +10,25 @@
 def why_infeasible(demand: Demand, workers: Iterable[Worker]) -> str | None:
     """Return why the demand can never run on these workers, or None when it can.
 
-    For example a gang of 64 that must sit in one rack of 8 workers with 4 slots each gives "no
-    rack holds more than 32 of the 64 members".
+    For example a gang of 64 members with adjacency rack, in a zone whose racks have 8 workers of 4
+    slots each, gives "a rack holds at most 32 of the 64 members".
     """
     by_rack: dict[str, int] = defaultdict(int)
-    largest = 0
+    most_on_one_worker = 0
     for worker in workers:
-        room = capacity_for(worker, demand)
-        largest = max(largest, room)
-        by_rack[worker.rack] += room
-    if largest == 0:
+        fitting = capacity_for(worker, demand)
+        most_on_one_worker = max(most_on_one_worker, fitting)
+        by_rack[worker.rack] += fitting
+    if most_on_one_worker == 0:
         return "no worker of the zone is large enough for one member"
-    room = sum(by_rack.values())
-    place = "the zone"
+    fitting = sum(by_rack.values())
+    scope = "the zone"
     if demand.adjacency is Adjacency.RACK:
-        room = max(by_rack.values())
-        place = "a rack"
+        fitting = max(by_rack.values())
+        scope = "a rack"
     if demand.adjacency is Adjacency.WORKER:
-        room = largest
-        place = "a worker"
-    if room < demand.members:
-        return f"{place} holds at most {room} of the {demand.members} members"
+        fitting = most_on_one_worker
+        scope = "a worker"
+    if fitting < demand.members:
+        return f"{scope} holds at most {fitting} of the {demand.members} members"
     return None
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/state.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/state.py
@@ -1,7 +1,7 @@
-"""The racks and workers of one zone, what they have free and what is placed on them.
+"""The state of a zone's racks and workers: free resources and allocations.
 
-What counts as free is worked out from what was placed, and never from reported usage, which lags:
-an allocation takes its share from the moment of the decision until its end is reported.
+Free resources are computed from allocations and never from reported usage, which lags behind: an
+allocation uses its resources from the decision to place it until its end is reported.
 """
 
 from dataclasses import dataclass, field
@@ -13,10 +13,10 @@
 
 
 class Backing(StrEnum):
-    """Say by what right an allocation holds its workers.
+    """Whether an allocation is covered by a guarantee, and whether it can be preempted.
 
-    GUARANTEED work lies within its team's guaranteed shapes, BORROWED work can be taken back, and
-    PINNED work lies outside every guarantee and cannot be taken back.
+    GUARANTEED work runs within its team's guaranteed shapes, BORROWED work can be preempted, and
+    PINNED work runs outside all guaranteed shapes and cannot be preempted.
     """
 
     GUARANTEED = "guaranteed"
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Allocation:
-    """A request that holds workers, or, while `pending`, was promised them once others stop."""
+    """A request with its workers; while `pending`, it waits for other work there to stop."""
 
     request: PendingRequest
     assignments: tuple[Assignment, ...]
@@ -37,18 +37,19 @@
     member_counts: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Count the members on each worker once, because every release needs it."""
+        """Count the members on each worker once, because each later change needs the counts."""
         for assignment in self.assignments:
             self.member_counts[assignment.worker] = self.member_counts.get(assignment.worker, 0) + 1
 
 
 @dataclass(slots=True)
 class WorkerState:
-    """One worker with what it has free.
+    """A worker with its free resources and the sums of some kinds of allocations on it.
 
-    What is promised to pending allocations is not free, so free amounts may be negative until
-    others stop. `stopping` sums what will be given back soon, `borrowed` what could be taken back,
-    and `borrowed_urgent` the part of it that urgent work holds, which is taken last.
+    The resources of pending allocations do not count as free, so free numbers may be negative until
+    other work stops. `pending` sums the pending allocations, `stopping` those that will end soon,
+    `borrowed` the preemptible ones without urgency, and `borrowed_urgent` the urgent preemptible
+    ones, which are preempted last. An allocation counts in at most one of the sums.
     """
 
     worker: Worker
@@ -71,35 +72,38 @@
         return self.worker.name
 
     def is_schedulable(self) -> bool:
-        """Tell whether new work may come here."""
+        """Return whether new work may be placed here."""
         return not (self.draining or self.quarantined)
 
     def fitting_members(self, demand: Demand) -> int:
-        """Return how many members of the demand fit into what is free now."""
-        room = min(self.free_slots, demand.members)
+        """Return how many members of the demand fit into the free resources."""
+        fitting = min(self.free_slots, demand.members)
         if demand.accelerators:
-            room = min(room, self.free_accelerators // demand.accelerators)
+            fitting = min(fitting, self.free_accelerators // demand.accelerators)
         if demand.cpu_cores:
-            room = min(room, self.free_cpu // demand.cpu_cores)
+            fitting = min(fitting, self.free_cpu // demand.cpu_cores)
         if demand.memory_mb:
-            room = min(room, self.free_memory // demand.memory_mb)
-        return max(room, 0)
+            fitting = min(fitting, self.free_memory // demand.memory_mb)
+        return max(fitting, 0)
 
     def free(self) -> Amount:
-        """Return what is free and not promised."""
+        """Return the resources that no allocation uses, pending ones included."""
         return Amount(self.free_accelerators, self.free_slots, self.free_cpu, self.free_memory)
 
     def free_including_pending(self) -> Amount:
-        """Return what nothing runs on, promised or not."""
+        """Return the resources that no running work uses, those of pending allocations included."""
         return self.free().plus(self.pending)
 
     def free_after_preemption(self, include_urgent: bool) -> Amount:
-        """Return what would be free if all that is borrowed were taken back."""
+        """Return what would be free if all stopping and borrowed work had stopped.
+
+        Urgent borrowed work counts only with `include_urgent`.
+        """
         amount = self.free().plus(self.stopping).plus(self.borrowed)
         return amount.plus(self.borrowed_urgent) if include_urgent else amount
 
-    def total_for(self, allocation: Allocation) -> Amount | None:
-        """Return the sum that an allocation belongs to, if any."""
+    def sum_for(self, allocation: Allocation) -> Amount | None:
+        """Return the sum in which an allocation counts, or None."""
         if allocation.pending:
             return self.pending
         if allocation.stopping:
@@ -111,14 +115,14 @@
         return self.borrowed
 
     def reset(self) -> None:
-        """Set everything free again."""
+        """Set all resources of the worker free."""
         self.free_accelerators = self.worker.accelerators
         self.free_slots = self.worker.slots
         self.free_cpu = self.worker.cpu_cores
         self.free_memory = self.worker.memory_mb
 
     def allocate(self, demand: Demand, members: int) -> None:
-        """Take the share of so many members; a negative number gives it back."""
+        """Subtract the demand of this many members; a negative number frees it."""
         self.free_accelerators -= demand.accelerators * members
         self.free_slots -= members
         self.free_cpu -= demand.cpu_cores * members
@@ -127,7 +131,7 @@
 
 @dataclass(slots=True)
 class RackState:
-    """The workers of one rack, whose accelerators are adjacent."""
+    """The workers of one rack, whose accelerators are adjacent to each other."""
 
     name: str
     workers: dict[str, WorkerState] = field(default_factory=dict)
@@ -136,7 +140,7 @@
 
 
 def capacity_for(worker: Worker, demand: Demand) -> int:
-    """Return how many members of the demand an empty worker holds."""
+    """Return how many members of the demand fit on the worker when it is empty."""
     empty = WorkerState(worker=worker, join_number=0)
     empty.reset()
     return empty.fitting_members(demand)
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/topology.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/topology.py
@@ -1,4 +1,4 @@
-"""The topology of one zone: its racks and workers, and what is placed on them."""
+"""The topology of one zone: its racks and workers, and the allocations on them."""
 
 from collections.abc import Iterator
 
@@ -8,7 +8,7 @@
 
 
 class Topology:
-    """Keep the workers and allocations of one zone.
+    """The workers and allocations of one zone, with its totals.
 
     `version` increases whenever free resources may have increased. `known_workers` also contains
     workers that were lost, so that a demand is called infeasible only when the zone never had the
@@ -31,7 +31,7 @@
         self.freed_log = FreedLog()
 
     def join(self, worker: Worker) -> bool:
-        """Add a worker or take its new size over; return whether it belongs to this zone."""
+        """Add a worker or update its size; return False when it belongs to another zone."""
         if worker.zone != self.zone:
             return False
         self.remove_worker(worker.name)
@@ -47,26 +47,26 @@
         rack.free_accelerators += worker.accelerators
         self.accelerators += worker.accelerators
         self.slots += worker.slots
-        self._retake(state, rack)
+        self._restore_allocations(state, rack)
         self.free_slots += state.free_slots
         self.free_accelerators += state.free_accelerators
-        self.index.put(state)
+        self.index.update(state)
         self.freed_log.invalidate()
         return True
 
     def drain(self, name: str) -> None:
-        """Give a worker no new work; what it runs goes on."""
+        """Place no new work on a worker; its running work continues."""
         if name in self.workers:
             self.workers[name].draining = True
 
     def remove_worker(self, name: str) -> None:
-        """Forget a worker; its allocations stay until their ends are reported."""
+        """Remove a lost worker; its allocations stay until their ends are reported."""
         state = self.workers.pop(name, None)
         if state is None:
             return
         rack = self.racks[state.worker.rack]
         del rack.workers[name]
-        self.index.drop(name)
+        self.index.remove(name)
         self.accelerators -= state.worker.accelerators
         self.slots -= state.worker.slots
         self.free_slots -= state.free_slots
@@ -77,15 +77,15 @@
             del self.racks[rack.name]
 
     def allocate(self, allocation: Allocation) -> None:
-        """Take the allocation's share on its workers."""
+        """Add an allocation and use its resources on its workers."""
         self.allocations[allocation.request.request_id] = allocation
-        self._take(allocation, 1)
+        self._count(allocation, 1)
 
     def release(self, request_id: str) -> Allocation | None:
-        """Give an allocation's share back; return None when it is not known."""
+        """Remove an allocation and free its resources; return None when it is not known."""
         allocation = self.allocations.pop(request_id, None)
         if allocation is not None:
-            self._take(allocation, -1)
+            self._count(allocation, -1)
             self.freed_log.add(allocation.member_counts)
         return allocation
 
@@ -96,34 +96,34 @@
         stopping: bool | None = None,
         pending: bool | None = None,
     ) -> None:
-        """Change an allocation's standing and keep the sums of its workers right."""
-        self._book(allocation, -1)
+        """Change attributes of an allocation and update the sums of its workers."""
+        self._update_sums(allocation, -1)
         allocation.backing = allocation.backing if backing is None else backing
         allocation.stopping = allocation.stopping if stopping is None else stopping
         allocation.pending = allocation.pending if pending is None else pending
-        self._book(allocation, 1)
+        self._update_sums(allocation, 1)
 
     def invalidate_searches(self) -> None:
-        """Make every search look at all workers again."""
+        """Make each search examine all workers again."""
         self.version += 1
         self.freed_log.invalidate()
 
     def schedulable_workers(self) -> Iterator[WorkerState]:
-        """Yield the workers that may be given work, in the order in which they joined."""
+        """Yield the workers that accept new work, in the order in which they joined."""
         return (state for state in self.workers.values() if state.is_schedulable())
 
-    def _book(self, allocation: Allocation, sign: int) -> None:
+    def _update_sums(self, allocation: Allocation, sign: int) -> None:
         for name, members in allocation.member_counts.items():
             state = self.workers.get(name)
             if state is None:
                 continue
-            book = state.total_for(allocation)
-            if book is not None:
-                book.add(allocation.request.demand, sign * members)
+            resource_sum = state.sum_for(allocation)
+            if resource_sum is not None:
+                resource_sum.add(allocation.request.demand, sign * members)
 
-    def _take(self, allocation: Allocation, sign: int) -> None:
+    def _count(self, allocation: Allocation, sign: int) -> None:
         self.version += sign < 0
-        self._book(allocation, sign)
+        self._update_sums(allocation, sign)
         demand = allocation.request.demand
         for name, members in allocation.member_counts.items():
             state = self.workers.get(name)
@@ -132,7 +132,7 @@
             state.allocate(demand, sign * members)
             self.free_slots -= sign * members
             self.free_accelerators -= sign * members * demand.accelerators
-            self.index.put(state)
+            self.index.update(state)
             rack = self.racks[state.worker.rack]
             rack.free_accelerators -= sign * members * demand.accelerators
             if sign > 0:
@@ -140,14 +140,14 @@
             else:
                 state.request_ids.discard(allocation.request.request_id)
 
-    def _retake(self, state: WorkerState, rack: RackState) -> None:
+    def _restore_allocations(self, state: WorkerState, rack: RackState) -> None:
         for request_id, allocation in self.allocations.items():
             members = allocation.member_counts.get(state.name, 0)
             if members == 0:
                 continue
             state.allocate(allocation.request.demand, members)
-            book = state.total_for(allocation)
-            if book is not None:
-                book.add(allocation.request.demand, members)
+            resource_sum = state.sum_for(allocation)
+            if resource_sum is not None:
+                resource_sum.add(allocation.request.demand, members)
             rack.free_accelerators -= members * allocation.request.demand.accelerators
             state.request_ids.add(request_id)
