--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
@@ -59,7 +59,7 @@
         self.cells.sort(key=lambda cell: (-cell.accelerators, ADJACENCY_ORDER[cell.adjacency]))
         self.adopt_running_allocations()
 
-    def missing(self) -> tuple[str, ...]:
+    def teams_missing_cells(self) -> tuple[str, ...]:
         """Return the teams whose guaranteed shapes cannot all be placed now."""
         return tuple(sorted({cell.team for cell in self.cells if not cell.placement}))
 
@@ -87,13 +87,13 @@
     def refresh(self) -> None:
         """Move cells off workers that were lost or accept no new work."""
         self._place_and_demote()
-        if self.missing():
+        if self.teams_missing_cells():
             self.place_all_cells()
 
     def place_cell(self, cell: Cell) -> bool:
         """Place a cell outside other cells and pinned work; return False when it fits nowhere."""
         for placement in self._best_placement(cell):
-            self._place(cell, placement)
+            self._set_placement(cell, placement)
             return True
         return False
 
@@ -146,17 +146,17 @@
     def move(self, cell: Cell, placement: dict[str, int]) -> bool:
         """Move a cell to another placement, or swap it with another team's equal cell there."""
         before = cell.placement
-        self._unplace(cell)
+        self._clear_placement(cell)
         if all(self._fits(name, count) for name, count in placement.items()):
-            self._place(cell, placement)
+            self._set_placement(cell, placement)
             return True
         for other in self.cells:
             if other.placement == placement and other.team != cell.team and self.is_movable(other):
-                self._unplace(other)
-                self._place(cell, placement)
-                self._place(other, before)
+                self._clear_placement(other)
+                self._set_placement(cell, placement)
+                self._set_placement(other, before)
                 return True
-        self._place(cell, before)
+        self._set_placement(cell, before)
         return False
 
     def placements(self) -> list[dict[str, int]]:
@@ -171,9 +171,9 @@
             if cell.placement is not before
         ]
         for cell, _ in changed:
-            self._unplace(cell)
+            self._clear_placement(cell)
         for cell, before in changed:
-            self._place(cell, before)
+            self._set_placement(cell, before)
 
     def _fits(self, name: str, accelerators: int) -> bool:
         state = self.topology.workers.get(name)
@@ -236,7 +236,7 @@
                 break
         return placement
 
-    def _place(self, cell: Cell, placement: dict[str, int]) -> None:
+    def _set_placement(self, cell: Cell, placement: dict[str, int]) -> None:
         cell.placement = placement
         self.topology.freed_log.add(placement)
         team = self.team_cell_accelerators[cell.team]
@@ -244,7 +244,7 @@
             self.cell_accelerators[name] += count
             team[name] = team.get(name, 0) + count
 
-    def _unplace(self, cell: Cell) -> None:
+    def _clear_placement(self, cell: Cell) -> None:
         team = self.team_cell_accelerators[cell.team]
         for name, count in cell.placement.items():
             self.cell_accelerators[name] -= count
@@ -276,7 +276,7 @@
         """Place missing cells and demote guaranteed work outside cells, until nothing changes."""
         for cell in self.cells:
             if not all(self._is_valid_on(name) for name in cell.placement):
-                self._unplace(cell)
+                self._clear_placement(cell)
         for cell in self.cells:
             if not cell.placement:
                 self.place_cell(cell)
--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/tests/test_layout.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/tests/test_layout.py
@@ -23,12 +23,12 @@
     def test_shapes_of_all_teams_are_placed_at_once(self):
         rack = Shape(16, Adjacency.RACK)
         self.set_teams(Team("a", (Shape(8, count=2),)), Team("b", (rack,)))
-        self.assertEqual((), self.layout.missing())
+        self.assertEqual((), self.layout.teams_missing_cells())
         self.assertEqual(32, sum(self.layout.cell_accelerators.values()))
 
     def test_a_team_whose_shapes_do_not_fit_is_missing(self):
         self.set_teams(Team("a", (Shape(16, Adjacency.RACK, 2),)), Team("b", (Shape(1),)))
-        self.assertEqual(("b",), self.layout.missing())
+        self.assertEqual(("b",), self.layout.teams_missing_cells())
 
     def test_cells_move_off_lost_workers(self):
         self.set_teams(Team("a", (Shape(8),)))
@@ -57,7 +57,7 @@
         self.assertEqual(0, self.layout.fitting_in_cells("b", state, Demand(1, 1, 1, 100)))
 
 
-class BrokenGuaranteeTests(testtools.TestCase):
+class GuaranteeViolationTests(testtools.TestCase):
     def test_overlapping_cells_are_found(self):
         topology = Topology("z")
         topology.join(Worker("w0", "z", "r0", 8, 32, 64_000, 8))
--- a/packages/agateferry-scheduling/agateferry_scheduling/health/tests/test_health.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/health/tests/test_health.py
@@ -5,7 +5,7 @@
 from agateferry_scheduling.scheduler.tests.zones import request
 
 
-class HealthTests(testtools.TestCase):
+class HealthTrackerTests(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.health = HealthTracker(SchedulingConfig())
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
@@ -5,6 +5,7 @@
 from agateferry_core.demand import Adjacency, Assignment, Demand
 from agateferry_scheduling.topology import Topology, WorkerState
 
+# The number of members of a gang on each worker, by the name of the worker.
 MemberCounts = dict[str, int]
 
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/stranding.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/stranding.py
@@ -18,10 +18,12 @@
     return max(groups, default=0)
 
 
-def stranding_change(topology: Topology, demand: Demand, counts: MemberCounts, group: int) -> float:
+def stranding_change(
+    topology: Topology, demand: Demand, counts: MemberCounts, rack_group: int
+) -> float:
     """Return by how many accelerators a placement changes the number of stranded ones.
 
-    The result is the mean over groups of a whole worker and groups of `group` within a rack.
+    The result is the mean over groups of a whole worker and groups of `rack_group` within a rack.
     """
     free = topology.free_accelerators
     taken = demand.accelerators * demand.members
@@ -35,12 +37,13 @@
         racks[state.worker.rack] += used
         worker_loss += _group_loss(state.free_accelerators, used, size)
     change = worker_loss - _group_loss(free, taken, size)
-    if not group:
+    if not rack_group:
         return float(change)
     rack_loss = sum(
-        _group_loss(topology.racks[r].free_accelerators, used, group) for r, used in racks.items()
+        _group_loss(topology.racks[r].free_accelerators, used, rack_group)
+        for r, used in racks.items()
     )
-    return (change + rack_loss - _group_loss(free, taken, group)) / 2
+    return (change + rack_loss - _group_loss(free, taken, rack_group)) / 2
 
 
 def _group_loss(free: int, used: int, size: int) -> int:
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/tests/test_victims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/tests/test_victims.py
@@ -8,7 +8,7 @@
 NOW_MS = 1_000_000
 
 
-class PlanTests(testtools.TestCase):
+class PreemptionPlanTests(testtools.TestCase):
     def setUp(self):
         super().setUp()
         config = SchedulingConfig(urgent_headroom_slots=0)
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_queue.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_queue.py
@@ -57,7 +57,7 @@
         self.assertFalse(is_large(request("u", urgency=Urgency.URGENT, accelerators=8)))
 
 
-class SharesTests(testtools.TestCase):
+class TeamSharesTests(testtools.TestCase):
     def test_the_dominant_share_counts_by_weight(self):
         shares = TeamShares()
         shares.weights = {"a": 2.0, "b": 1.0}
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
@@ -183,7 +183,7 @@
         return decisions
 
     def _risks(self) -> list[Decision]:
-        missing = self.zone.layout.missing()
+        missing = self.zone.layout.teams_missing_cells()
         if missing == self._at_risk:
             return []
         self._at_risk = missing
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
@@ -306,7 +306,7 @@
         after = scheduler(teams=(team("a", (8,)), team("b", (8,))))
         after.step(RequestRunning(pending, start.assignments, 0), 0)
         self.assertEqual(["b0"], started(queue(after, request("b0", "b", accelerators=8), 1)))
-        self.assertEqual((), after.zone.layout.missing())
+        self.assertEqual((), after.zone.layout.teams_missing_cells())
         self.assertEqual("guaranteed", after.zone.topology.allocations["a0"].backing)
 
     def test_equal_events_give_equal_decisions(self):
