--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
@@ -1,15 +1,16 @@
-"""First fit: take the first workers with room, in the order in which they joined."""
+"""First fit: use the first workers on which the demand fits, in the order in which they joined."""
 
 from collections.abc import Iterable
 
 from agateferry_core.demand import Adjacency, Assignment, Demand
 from agateferry_scheduling.topology import Topology, WorkerState
 
-Counts = dict[str, int]
+# The number of members of a gang on each worker, by the name of the worker.
+MemberCounts = dict[str, int]
 
 
-def assignments_of(demand: Demand, counts: Counts) -> tuple[Assignment, ...]:
-    """Number the members worker by worker, for example {"w1": 2} gives members 0 and 1 on w1."""
+def assignments_of(demand: Demand, counts: MemberCounts) -> tuple[Assignment, ...]:
+    """Number the members worker by worker; for example {"w1": 2} puts members 0 and 1 on w1."""
     names = [name for name, count in counts.items() for _ in range(count)]
     return tuple(
         Assignment(member=member, worker=name, accelerators=demand.accelerators)
@@ -17,27 +18,27 @@
     )
 
 
-def first_fit(topology: Topology, demand: Demand) -> Counts | None:
-    """Return how many members go to which worker, or None when the whole gang does not fit."""
+def first_fit(topology: Topology, demand: Demand) -> MemberCounts | None:
+    """Return the member counts by worker, or None when the whole gang does not fit."""
     if demand.adjacency is Adjacency.ANY:
-        return _fill(topology.open_workers(), demand)
+        return _fill(topology.schedulable_workers(), demand)
     if demand.adjacency is Adjacency.RACK:
         for rack in topology.racks.values():
-            counts = _fill((w for w in rack.workers.values() if w.is_open()), demand)
+            counts = _fill((w for w in rack.workers.values() if w.is_schedulable()), demand)
             if counts is not None:
                 return counts
         return None
-    for worker in topology.open_workers():
-        if worker.room_for(demand) >= demand.members:
+    for worker in topology.schedulable_workers():
+        if worker.fitting_members(demand) >= demand.members:
             return {worker.name: demand.members}
     return None
 
 
-def _fill(workers: Iterable[WorkerState], demand: Demand) -> Counts | None:
-    counts: Counts = {}
+def _fill(workers: Iterable[WorkerState], demand: Demand) -> MemberCounts | None:
+    counts: MemberCounts = {}
     missing = demand.members
     for worker in workers:
-        taken = min(worker.room_for(demand), missing)
+        taken = min(worker.fitting_members(demand), missing)
         if taken:
             counts[worker.name] = taken
             missing -= taken
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/victims.py
@@ -1,4 +1,4 @@
-"""Which borrowed work to take back so that a demand fits, with the least work lost."""
+"""The choice of victims: the borrowed work to preempt for a demand, with the least work lost."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,21 +10,25 @@
 CHECKPOINT_COST_MS = 5_000
 URGENT_PENALTY_MS = 24 * 3_600_000
 
-Allowed = Callable[[Allocation], bool]
+VictimFilter = Callable[[Allocation], bool]
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """The allocations to stop, and the work that is lost with them in slot-milliseconds."""
+class PreemptionPlan:
+    """The allocations to stop, and the work that is lost with them.
+
+    `lost_work_ms` is in slot-milliseconds, or accelerator-milliseconds for accelerated work.
+    """
 
     victims: tuple[Allocation, ...]
-    lost_ms: int
+    lost_work_ms: int
 
 
-def loss_ms(allocation: Allocation, now_ms: int) -> int:
-    """Return the work lost by stopping now, in slot- or accelerator-milliseconds.
+def lost_work_ms(allocation: Allocation, now_ms: int) -> int:
+    """Return the work that is lost by stopping now, in slot- or accelerator-milliseconds.
 
-    Work that checkpoints loses only the time that the checkpoint takes.
+    Checkpointable work loses no more than the time that a checkpoint takes. Urgent work gets a
+    penalty, so that it is preempted last.
     """
     demand = allocation.request.demand
     width = demand.members * max(demand.accelerators, 1)
@@ -35,69 +39,78 @@
     return (run_ms + 1) * width + penalty
 
 
-def plan_for(
+def plan_preemption(
     topology: Topology,
     state: WorkerState,
     demand: Demand,
     members: int,
-    allowed: Allowed,
+    allowed: VictimFilter,
     now_ms: int,
-) -> Plan | None:
-    """Return what to stop so that so many members fit on one worker, or None."""
+) -> PreemptionPlan | None:
+    """Return what to stop so that this many members fit on one worker, or None if they cannot.
+
+    Resources of work that is already stopping count as free. `allowed` decides whether an
+    allocation may be a victim.
+    """
     needed = Resources()
     needed.add(demand, members)
-    room = state.free().plus(state.stopping)
-    if not room.minus(needed).is_negative():
-        return Plan((), 0)
-    victims = _candidates(topology, state, allowed, now_ms)
+    free = state.free().plus(state.stopping)
+    if not free.minus(needed).is_negative():
+        return PreemptionPlan((), 0)
+    candidates = _candidates(topology, state, allowed, now_ms)
     chosen: list[tuple[int, Allocation]] = []
-    for lost, allocation in victims:
-        part = _part(allocation, state)
-        if not _helps(room.minus(needed), part):
+    for lost, allocation in candidates:
+        resources = _resources_on(allocation, state)
+        if not _reduces_shortage(free.minus(needed), resources):
             continue
-        room = room.plus(part)
+        free = free.plus(resources)
         chosen.append((lost, allocation))
-        if not room.minus(needed).is_negative():
-            return _pruned(state, chosen, room.minus(needed))
+        if not free.minus(needed).is_negative():
+            return _without_unneeded(state, chosen, free.minus(needed))
     return None
 
 
 def _candidates(
-    topology: Topology, state: WorkerState, allowed: Allowed, now_ms: int
+    topology: Topology, state: WorkerState, allowed: VictimFilter, now_ms: int
 ) -> list[tuple[int, Allocation]]:
     found = []
-    for request_id in state.requests:
+    for request_id in state.request_ids:
         allocation = topology.allocations[request_id]
-        taken_back = allocation.kind is AllocationKind.BORROWED
-        if taken_back and not (allocation.stopping or allocation.pending) and allowed(allocation):
-            found.append((loss_ms(allocation, now_ms), allocation))
+        is_borrowed = allocation.kind is AllocationKind.BORROWED
+        if is_borrowed and not (allocation.stopping or allocation.pending) and allowed(allocation):
+            found.append((lost_work_ms(allocation, now_ms), allocation))
     found.sort(key=lambda item: (item[0], item[1].request.request_id))
     return found
 
 
-def _part(allocation: Allocation, state: WorkerState) -> Resources:
-    part = Resources()
-    part.add(allocation.request.demand, allocation.counts[state.name])
-    return part
+def _resources_on(allocation: Allocation, state: WorkerState) -> Resources:
+    resources = Resources()
+    resources.add(allocation.request.demand, allocation.member_counts[state.name])
+    return resources
 
 
-def _helps(left: Resources, part: Resources) -> bool:
+def _reduces_shortage(balance: Resources, resources: Resources) -> bool:
     return (
-        (left.accelerators < 0 and part.accelerators > 0)
-        or (left.slots < 0 and part.slots > 0)
-        or (left.cpu < 0 and part.cpu > 0)
-        or (left.memory < 0 and part.memory > 0)
+        (balance.accelerators < 0 and resources.accelerators > 0)
+        or (balance.slots < 0 and resources.slots > 0)
+        or (balance.cpu < 0 and resources.cpu > 0)
+        or (balance.memory < 0 and resources.memory > 0)
     )
 
 
-def _pruned(state: WorkerState, chosen: list[tuple[int, Allocation]], spare: Resources) -> Plan:
-    """Let the dearest of the chosen go on where the others are enough."""
-    kept: list[tuple[int, Allocation]] = []
+def _without_unneeded(
+    state: WorkerState, chosen: list[tuple[int, Allocation]], spare: Resources
+) -> PreemptionPlan:
+    """Return the plan without the victims that are not needed, dropping the costliest first.
+
+    `spare` is what remains free beyond the need when all chosen victims stop.
+    """
+    needed: list[tuple[int, Allocation]] = []
     for lost, allocation in reversed(chosen):
-        without = spare.minus(_part(allocation, state))
-        if without.is_negative():
-            kept.append((lost, allocation))
+        spare_without = spare.minus(_resources_on(allocation, state))
+        if spare_without.is_negative():
+            needed.append((lost, allocation))
         else:
-            spare = without
-    kept.reverse()
-    return Plan(tuple(a for _, a in kept), sum(lost for lost, _ in kept))
+            spare = spare_without
+    needed.reverse()
+    return PreemptionPlan(tuple(a for _, a in needed), sum(lost for lost, _ in needed))
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/admission.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/admission.py
@@ -34,7 +34,7 @@
     def expire(self, now_ms: int) -> list[Decision]:
         """Reject waiting requests whose deadline has passed."""
         decisions: list[Decision] = []
-        for request in self._zone.queue.take_expired(now_ms):
+        for request in self._zone.queue.pop_expired(now_ms):
             detail = "the deadline passed while the request waited"
             reason = RejectReason.DEADLINE_UNREACHABLE
             decisions.append(Reject(request.request_id, reason, detail))
@@ -54,7 +54,7 @@
         if self._is_late(request, now_ms):
             detail = "it cannot be answered before its deadline"
             return Reject(name, RejectReason.DEADLINE_UNREACHABLE, detail)
-        if self._zone.queue.counts.get(team.name, 0) >= team.max_queued:
+        if self._zone.queue.count_by_team.get(team.name, 0) >= team.max_queued:
             detail = f"{team.max_queued} requests of {team.name} wait already"
             retry_ms = self._retry_ms(team.name, now_ms)
             return Reject(name, RejectReason.TEAM_QUEUE_FULL, detail, retry_ms)
@@ -67,22 +67,22 @@
         """Tell whether a request failed on several workers, or on all that could run it."""
         if self._zone.health.fails_everywhere(request.request_id):
             return True
-        failed = self._zone.health.avoided(request.request_id)
+        failed = self._zone.health.failed_workers_of(request.request_id)
         if not failed:
             return False
-        seen = self._zone.topology.seen
+        seen = self._zone.topology.known_workers
         left = [worker for name, worker in seen.items() if name not in failed]
         return why_infeasible(request.demand, left) is not None
 
     def _why_infeasible(self, demand: Demand) -> str | None:
         topology = self._zone.topology
-        if not topology.seen:
+        if not topology.known_workers:
             return None
-        if self._joined != topology.joined:
+        if self._joined != topology.join_count:
             self._verdicts.clear()
-            self._joined = topology.joined
+            self._joined = topology.join_count
         if demand not in self._verdicts:
-            self._verdicts[demand] = why_infeasible(demand, topology.seen.values())
+            self._verdicts[demand] = why_infeasible(demand, topology.known_workers.values())
         return self._verdicts[demand]
 
     def _is_late(self, request: PendingRequest, now_ms: int) -> bool:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
@@ -18,21 +18,21 @@
 
 def _explain_placed(zone: ZoneState, allocation: Allocation, now_ms: int) -> Explanation:
     request_id = allocation.request.request_id
-    where = ", ".join(f"{name} x{count}" for name, count in allocation.counts.items())
+    where = ", ".join(f"{name} x{count}" for name, count in allocation.member_counts.items())
     details = (f"workers: {where}", f"right: {allocation.kind}")
-    claim = zone.claims.open.get(request_id)
+    claim = zone.claims.by_request_id.get(request_id)
     if claim is not None:
         waits = f"borrowed work on {where} to stop"
-        if_stopped = f"it stops, which it does within {max(claim.by_ms - now_ms, 0)} ms"
+        if_stopped = f"it stops, which it does within {max(claim.stop_by_ms - now_ms, 0)} ms"
         return Explanation(request_id, "reclaiming", waits, if_stopped, details)
     state = "stopping" if allocation.stopping else "running"
     return Explanation(request_id, state, "nothing", "it has started", details)
 
 
 def _explain_waiting(zone: ZoneState, request: PendingRequest, now_ms: int) -> Explanation:
-    group = zone.queue.by_request[request.request_id]
+    group = zone.queue.group_by_request_id[request.request_id]
     place = list(group.requests).index(request.request_id)
-    team = zone.shares.share(request.team, zone.topology.accelerators, zone.topology.slots)
+    team = zone.shares.dominant_share(request.team, zone.topology.accelerators, zone.topology.slots)
     likely_ms = zone.estimates.likely_ms(request)
     details = [
         f"waits for {now_ms - request.submitted_ms} ms",
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/moving.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/moving.py
@@ -37,9 +37,9 @@
         if move is None:
             return []
         request = move.allocation.request
-        self._hold(request, move.counts, now_ms)
+        self._hold(request, move.member_counts, now_ms)
         self._moved_ms[request.request_id] = now_ms
-        self._zone.topology.change(move.allocation, stopping=True)
+        self._zone.topology.update_allocation(move.allocation, stopping=True)
         by_ms = now_ms + 2 * CHECKPOINT_COST_MS
         return [Preempt(request.request_id, request.request_id, by_ms)]
 
@@ -48,12 +48,12 @@
         held = self.release(request.request_id)
         if held is None:
             return []
-        if not all(self._is_vacant(request, name, n) for name, n in held.counts.items()):
+        if not all(self._is_vacant(request, name, n) for name, n in held.member_counts.items()):
             return []
-        covered = self._find.cover(request, held.counts)
+        covered = self._find.cover(request, held.member_counts)
         kind = AllocationKind.GUARANTEED if covered else AllocationKind.BORROWED
         self._zone.queue.remove(request.request_id)
-        allocation = self._zone.place(request, held.counts, kind, now_ms, pending=False)
+        allocation = self._zone.place(request, held.member_counts, kind, now_ms, pending=False)
         return [Start(request.request_id, allocation.assignments)]
 
     def release(self, request_id: str) -> Allocation | None:
@@ -74,6 +74,6 @@
 
     def _is_vacant(self, request: PendingRequest, name: str, members: int) -> bool:
         state = self._zone.topology.workers.get(name)
-        if state is None or not state.is_open():
+        if state is None or not state.is_schedulable():
             return False
-        return state.vacant().room_for(request.demand) >= members
+        return state.free_including_pending().fitting_members(request.demand) >= members
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/reclaiming.py
@@ -1,9 +1,9 @@
 """Claim workers that other work must leave: for guarantees, urgent starts and aged gangs."""
 
 from agateferry_core.demand import Urgency
-from agateferry_scheduling.placement.first_fit import Counts
+from agateferry_scheduling.placement.first_fit import MemberCounts
 from agateferry_scheduling.preemption.claims import Claim
-from agateferry_scheduling.preemption.victims import CHECKPOINT_COST_MS, Plan
+from agateferry_scheduling.preemption.victims import CHECKPOINT_COST_MS, PreemptionPlan
 from agateferry_scheduling.queueing import is_large
 from agateferry_scheduling.scheduler.finder import Finder, kind_outside_guarantee
 from agateferry_scheduling.scheduler.messages import Decision, PendingRequest, Preempt, Start
@@ -33,7 +33,7 @@
             self._zone.claims.remove(claim.request_id)
             allocation = claim.allocation
             allocation.started_ms = now_ms
-            self._zone.topology.change(allocation, pending=False)
+            self._zone.topology.update_allocation(allocation, pending=False)
             decisions.append(Start(claim.request_id, allocation.assignments))
         return decisions
 
@@ -98,7 +98,7 @@
     def _claim(
         self,
         request: PendingRequest,
-        found: tuple[Counts, Plan],
+        found: tuple[MemberCounts, PreemptionPlan],
         kind: AllocationKind,
         by_ms: int,
         now_ms: int,
@@ -109,7 +109,7 @@
         self._zone.claims.add(Claim(allocation, by_ms))
         decisions: list[Decision] = []
         for victim in plan.victims:
-            self._zone.topology.change(victim, stopping=True)
+            self._zone.topology.update_allocation(victim, stopping=True)
             decisions.append(Preempt(victim.request.request_id, request.request_id, by_ms))
         return decisions + self.start_ready(now_ms)
 
@@ -122,14 +122,14 @@
         topology = self._zone.topology
         wanted = request.demand.accelerators > 0
         pool = topology.index.accelerated if wanted else topology.workers
-        states = [w for w in pool.values() if w.borrowed.slots > 0 and w.is_open()]
-        states.sort(key=lambda w: (w.worker.accelerators, -w.borrowed.slots, w.number))
+        states = [w for w in pool.values() if w.borrowed.slots > 0 and w.is_schedulable()]
+        states.sort(key=lambda w: (w.worker.accelerators, -w.borrowed.slots, w.join_number))
         return [state.name for state in (states if wanted else states[:WORKERS_WEIGHED])]
 
 
 def may_use_cells(zone: ZoneState, request: PendingRequest) -> bool:
     """Tell whether a request is of the kind that its team's cells are for."""
-    has_cells = bool(zone.layout.team_laid[request.team])
+    has_cells = bool(zone.layout.team_cell_accelerators[request.team])
     return has_cells and (request.demand.accelerators > 0 or not request.preemptible)
 
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
@@ -95,14 +95,14 @@
                 zone.topology.drain(name)
                 self._close()
             case WorkerLost(name=name):
-                zone.topology.lose(name)
+                zone.topology.remove_worker(name)
                 self._close()
             case TeamsChanged(teams=teams):
                 zone.set_teams(teams)
-                zone.topology.touch()
+                zone.topology.invalidate_searches()
             case ConfigChanged(config=config):
                 zone.set_config(config)
-                zone.topology.touch()
+                zone.topology.invalidate_searches()
 
     def _queue(self, request: PendingRequest, now_ms: int) -> list[Decision]:
         if request.request_id in self.zone.topology.allocations:
@@ -110,7 +110,7 @@
         decisions = self._admission.admit(request, now_ms)
         if not decisions:
             decisions = self._mover.resume(request, now_ms)
-        group = self.zone.queue.by_request.get(request.request_id)
+        group = self.zone.queue.group_by_request_id.get(request.request_id)
         if group is None or next(iter(group.requests)) != request.request_id:
             return decisions
         return decisions + self._starter.try_group(group, now_ms, 1)
@@ -135,12 +135,12 @@
             self._mover.forget(event.request_id)
         if event.reason is EndReason.FINISHED:
             self.zone.estimates.learn(request, event.run_ms)
-            changes = self.zone.health.succeeded(request, tuple(allocation.counts))
+            changes = self.zone.health.record_success(request, tuple(allocation.member_counts))
         elif event.reason is EndReason.FAILED:
-            changes = self.zone.health.failed(request, event.failed_workers, now_ms)
+            changes = self.zone.health.record_failure(request, event.failed_workers, now_ms)
         elif event.reason is EndReason.CANCELLED:
             self.zone.health.forget(event.request_id)
-        self.zone.health.probe_ended(event.request_id, now_ms)
+        self.zone.health.record_probe_end(event.request_id, now_ms)
         for change in changes:
             self._apply(change)
         return list(changes)
@@ -150,7 +150,7 @@
         if state is None:
             return
         state.quarantined = not change.lifted
-        self.zone.topology.touch()
+        self.zone.topology.invalidate_searches()
         self._close()
 
     def _join(self, worker: Worker) -> None:
@@ -164,7 +164,7 @@
     def _close(self) -> None:
         """Move cells and claims off workers that take no new work."""
         self.zone.layout.refresh()
-        for claim in self.zone.claims.broken():
+        for claim in self.zone.claims.unschedulable():
             self.zone.claims.remove(claim.request_id)
             self.zone.release(claim.request_id)
             self.zone.queue.add(claim.allocation.request)
@@ -183,7 +183,7 @@
         return decisions
 
     def _risks(self) -> list[Decision]:
-        missing = self.zone.layout.missing()
+        missing = self.zone.layout.teams_missing_cells()
         if missing == self._at_risk:
             return []
         self._at_risk = missing
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
@@ -77,7 +77,7 @@
 
     def test_a_lost_worker_under_a_claim_puts_the_request_back(self):
         preempts = of_type(self.reclaim(), Preempt)
-        [name] = self.zone.zone.claims.open["b0"].allocation.counts
+        [name] = self.zone.zone.claims.by_request_id["b0"].allocation.member_counts
         decisions = self.zone.step(WorkerLost(name), 11_000)
         for preempt in preempts:
             ended = RequestEnded(preempt.request_id, EndReason.WORKER_LOST, 1_000)
@@ -88,11 +88,11 @@
 class CoverTests(testtools.TestCase):
     def test_a_gang_that_its_cells_cannot_cover_leaves_them_in_place(self):
         zone = scheduler(per_rack=3, teams=(team("a", (8,)), team("b", (8,))))
-        before = [dict(places) for places in zone.zone.layout.places()]
+        before = [dict(places) for places in zone.zone.layout.placements()]
         gang = request("x", members=2, accelerators=4, preemptible=False)
         pinned = request("y", members=2, accelerators=8, preemptible=False)
         self.assertEqual([], started(queue(zone, pinned)))
-        self.assertEqual(before, zone.zone.layout.places())
+        self.assertEqual(before, zone.zone.layout.placements())
         self.assertEqual(["x"], started(queue(zone, gang)))
 
 
@@ -274,7 +274,7 @@
         self.assertEqual([], queue(zone, request("x", members=2, accelerators=8)))
         for _ in range(2):
             queue(zone, request("y", accelerators=8))
-        self.assertEqual(1, zone.zone.queue.counts["a"])
+        self.assertEqual(1, zone.zone.queue.count_by_team["a"])
 
 
 class ChangeTests(testtools.TestCase):
@@ -306,7 +306,7 @@
         after = scheduler(teams=(team("a", (8,)), team("b", (8,))))
         after.step(RequestRunning(pending, start.assignments, 0), 0)
         self.assertEqual(["b0"], started(queue(after, request("b0", "b", accelerators=8), 1)))
-        self.assertEqual((), after.zone.layout.missing())
+        self.assertEqual((), after.zone.layout.teams_missing_cells())
         self.assertEqual("guaranteed", after.zone.topology.allocations["a0"].kind)
 
     def test_equal_events_give_equal_decisions(self):
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
@@ -6,11 +6,11 @@
 from agateferry_core.demand import Assignment
 from agateferry_scheduling.estimates import Estimates
 from agateferry_scheduling.guarantees import Layout
-from agateferry_scheduling.health import Health
-from agateferry_scheduling.placement.first_fit import Counts, assignments_of
+from agateferry_scheduling.health import HealthTracker
+from agateferry_scheduling.placement.first_fit import MemberCounts, assignments_of
 from agateferry_scheduling.preemption.claims import Claims
 from agateferry_scheduling.queueing import Queue
-from agateferry_scheduling.queueing.fairness import Shares
+from agateferry_scheduling.queueing.fairness import TeamShares
 from agateferry_scheduling.queueing.reservation import Reservation
 from agateferry_scheduling.scheduler.messages import PendingRequest, SchedulingConfig, Team
 from agateferry_scheduling.topology import Allocation, AllocationKind, Topology
@@ -27,9 +27,9 @@
         self.topology = Topology(zone)
         self.layout = Layout(self.topology)
         self.queue = Queue()
-        self.shares = Shares()
+        self.shares = TeamShares()
         self.estimates = Estimates()
-        self.health = Health(config)
+        self.health = HealthTracker(config)
         self.claims = Claims(self.topology)
         self.reservation: Reservation | None = None
         self.adopting = False
@@ -49,7 +49,7 @@
     def place(
         self,
         request: PendingRequest,
-        counts: Counts,
+        counts: MemberCounts,
         kind: AllocationKind,
         now_ms: int,
         pending: bool,
@@ -60,7 +60,7 @@
         self.put(allocation)
         return allocation
 
-    def held_place(self, request: PendingRequest, counts: Counts, now_ms: int) -> Allocation:
+    def held_place(self, request: PendingRequest, counts: MemberCounts, now_ms: int) -> Allocation:
         """Keep others off the place that a request moves to."""
         held = replace(request, request_id=f"{request.request_id} moving")
         assignments = assignments_of(request.demand, counts)
@@ -72,7 +72,7 @@
         """Count an allocation in."""
         self.topology.allocate(allocation)
         self.layout.charge(allocation, 1)
-        self.shares.change(allocation.request.team, allocation.request.demand, 1)
+        self.shares.charge(allocation.request.team, allocation.request.demand, 1)
 
     def release(self, request_id: str) -> Allocation | None:
         """Count an allocation out; return None when it is not known."""
@@ -80,7 +80,7 @@
         if allocation is None:
             return None
         self.layout.charge(allocation, -1)
-        self.shares.change(allocation.request.team, allocation.request.demand, -1)
+        self.shares.charge(allocation.request.team, allocation.request.demand, -1)
         return allocation
 
     def adopt(
@@ -95,7 +95,7 @@
         """Lay the guarantees around all that was adopted, once no more of it comes."""
         if self.adopting:
             self.adopting = False
-            self.layout.adopt_all()
+            self.layout.adopt_running_allocations()
 
     def note_start(self, team: str, now_ms: int) -> None:
         """Remember the times of a team's latest starts."""
