--- a/packages/agateferry-jobs/agateferry_jobs/calls/client.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/client.py
@@ -51,7 +51,7 @@
         self._retiring: set[asyncio.Task[None]] = set()
         self._failing: set[str] = set()
         self._log = EventLogger()
-        self.answered_ms: int | None = None
+        self.last_reply_ms: int | None = None
         """When the leader last answered, by the clock that counts suspensions."""
 
     @property
@@ -65,9 +65,9 @@
             if host not in self._hosts:
                 self._hosts.append(host)
 
-    async def call(self, call: messages.Call, within_ms: int) -> messages.Reply:
+    async def call(self, call: messages.Call, timeout_ms: int) -> messages.Reply:
         """Ask until a leader replies; `OutcomeUnknown` where one may have acted without a reply."""
-        until_ms = self._clock.now_ms() + within_ms
+        until_ms = self._clock.now_ms() + timeout_ms
         may_have_acted = False
         while True:
             left_ms = until_ms - self._clock.now_ms()
@@ -88,7 +88,7 @@
                     await asyncio.sleep(PAUSE_MS / MS_PER_S)
                 case _:
                     self._leader = host
-                    self.answered_ms = self._clock.now_ms()
+                    self.last_reply_ms = self._clock.now_ms()
                     return reply
         if may_have_acted:
             return messages.OutcomeUnknown("no reply in time")
@@ -123,7 +123,7 @@
         wire = pb.LeaderAsk(ask=messages.encode(call))
         try:
             answer = await stub.Ask(wire, timeout=timeout_ms / MS_PER_S)
-            decoded = messages.decode_answer(answer.answer)
+            decoded = messages.decode_reply(answer.answer)
         except grpc.aio.AioRpcError as exc:
             self._retire(host, stub_channel)
             self._note_failed(host, exc.code().name, _name(call))
--- a/packages/agateferry-jobs/agateferry_jobs/calls/messages.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/messages.py
@@ -186,7 +186,7 @@
 )
 
 
-class Answer(Struct, frozen=True):
+class ReplyEnvelope(Struct, frozen=True):
     """A reply with the hosts of the cell, so that callers of the cell learn of new ones."""
 
     reply: Reply
@@ -194,7 +194,7 @@
 
 
 _call_decoder = msgspec.msgpack.Decoder(Call)
-_answer_decoder = msgspec.msgpack.Decoder(Answer)
+_reply_decoder = msgspec.msgpack.Decoder(ReplyEnvelope)
 encode = msgspec.msgpack.Encoder().encode
 
 
@@ -203,6 +203,6 @@
     return _call_decoder.decode(data)
 
 
-def decode_answer(data: bytes) -> Answer:
+def decode_reply(data: bytes) -> ReplyEnvelope:
     """Read the bytes of an answer; raises msgspec.DecodeError where they are none."""
-    return _answer_decoder.decode(data)
+    return _reply_decoder.decode(data)
--- a/packages/agateferry-jobs/agateferry_jobs/calls/tests/test_messages.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/tests/test_messages.py
@@ -117,10 +117,10 @@
             set(typing.get_args(messages.Reply)), {type(message) for message, _, _ in REPLIES}
         )
         for message, label, wire in REPLIES:
-            answer = messages.Answer(message, ("h",))
+            answer = messages.ReplyEnvelope(message, ("h",))
             data = messages.encode(answer)
             self.assertEqual({"reply": wire, "hosts": ["h"]}, msgspec.msgpack.decode(data), label)
-            self.assertEqual(answer, messages.decode_answer(data), label)
+            self.assertEqual(answer, messages.decode_reply(data), label)
             self.assertEqual(label, message.label)
 
     def test_answers_of_workers_keep_their_labels(self):
--- a/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
@@ -25,7 +25,7 @@
 """How often what depends on time alone is looked at."""
 PLAN_REST = 4
 """How many times the length of a plan its leader leaves to other work before the next one."""
-HUNG_MS = 4_000
+NO_PROGRESS_TIMEOUT_MS = 4_000
 """A run whose progress stood still for this long is taken for hung; a slow one moves in less."""
 
 
@@ -283,4 +283,6 @@
 
 def _is_hung(tracked: TrackedRun, now_ms: int) -> bool:
     is_at_work = tracked.phase is Phase.CONFIRMED and not tracked.is_stopping
-    return is_at_work and tracked.percent < 100 and now_ms - tracked.moved_ms > HUNG_MS
+    return (
+        is_at_work and tracked.percent < 100 and now_ms - tracked.moved_ms > NO_PROGRESS_TIMEOUT_MS
+    )
--- a/packages/agateferry-jobs/agateferry_jobs/cell/servicer.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/servicer.py
@@ -13,7 +13,9 @@
 class LeaderServicer(rpc.LeaderServicer):
     """Decode a question, have it answered and encode the answer."""
 
-    def __init__(self, answer: Callable[[messages.Call], Awaitable[messages.Answer]]) -> None:
+    def __init__(
+        self, answer: Callable[[messages.Call], Awaitable[messages.ReplyEnvelope]]
+    ) -> None:
         self._answer = answer
 
     async def Ask(  # noqa: N802
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
@@ -6,7 +6,7 @@
 from agateferry_core.clock import SystemClock
 from agateferry_core.support import run_async
 from agateferry_jobs.calls import messages
-from agateferry_jobs.cell.leader import HUNG_MS, PLAN_REST, Leader
+from agateferry_jobs.cell.leader import NO_PROGRESS_TIMEOUT_MS, PLAN_REST, Leader
 from agateferry_jobs.ledger import JobState, Ledger, WorkerState, commands
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
@@ -232,7 +232,7 @@
             self.ports["w2"].is_full = True
             await self.call(messages.Submit(target(), JobSpec("payload", (step,))))
             await self.until(lambda: self.ports["w1"].starts, "one member")
-            async with asyncio.timeout(HUNG_MS / 2 / 1000):
+            async with asyncio.timeout(NO_PROGRESS_TIMEOUT_MS / 2 / 1000):
                 await self.running_on("w1", 0)
             self.assertEqual("stopped", self.ports["w1"].first_outcome)
 
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/cell.py
@@ -87,21 +87,21 @@
         await self._transport.close()
         await self.client.close()
 
-    async def answer(self, call: messages.Call) -> messages.Answer:
+    async def answer(self, call: messages.Call) -> messages.ReplyEnvelope:
         """Answer a question of another host."""
         if self._leader is None or self._replica is None:
-            return messages.Answer(messages.NotLeader())
+            return messages.ReplyEnvelope(messages.NotLeader())
         reply = await self._leader.handle(call)
         hosts = tuple(member.id.host for member in self._replica.members.voters)
-        return messages.Answer(reply, hosts)
+        return messages.ReplyEnvelope(reply, hosts)
 
-    async def call(self, call: messages.Call, within_ms: int) -> messages.Reply:
+    async def call(self, call: messages.Call, timeout_ms: int) -> messages.Reply:
         """Answer here where this host leads, else ask the host that does."""
         answer = await self.answer(call)
         if not isinstance(answer.reply, messages.NotLeader):
             return answer.reply
         self.client.add_hosts(answer.hosts)
-        return await self.client.call(call, within_ms)
+        return await self.client.call(call, timeout_ms)
 
     @property
     def leader_host(self) -> str | None:
--- a/packages/agateferry-jobs/agateferry_jobs/entry/watch.py
+++ b/packages/agateferry-jobs/agateferry_jobs/entry/watch.py
@@ -32,13 +32,13 @@
     @property
     def has_leader(self) -> bool:
         """Tell whether the leader answered lately."""
-        at_ms = self._client.answered_ms
+        at_ms = self._client.last_reply_ms
         return at_ms is not None and self._clock.now_ms() - at_ms < STALE_MS
 
     async def run(self) -> None:
         """Watch until cancelled."""
         while True:
-            at_ms = self._client.answered_ms
+            at_ms = self._client.last_reply_ms
             if at_ms is None or self._clock.now_ms() - at_ms >= PING_MS:
                 await self._client.call(messages.Ping(), PING_TIMEOUT_MS)
             self._note()
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/world.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/world.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from agateferry_core.clock import MS_PER_S
-from agateferry_jobs.cell.leader import HUNG_MS, TICK_MS
+from agateferry_jobs.cell.leader import NO_PROGRESS_TIMEOUT_MS, TICK_MS
 from agateferry_jobs.ledger import Ledger, WorkerIncarnation, commands
 from agateferry_jobs.ledger.state import Run, gang_of
 from agateferry_jobs.manifest import Manifest, Queue, Service, Team
@@ -201,7 +201,7 @@
                 self._end(group, commands.RunOutcome.STOPPED)
                 return True
             return False
-        if group.still_ms > HUNG_MS and not is_hidden:
+        if group.still_ms > NO_PROGRESS_TIMEOUT_MS and not is_hidden:
             self._stop(group)
             return False
         if group.restore_ms > 0:
