--- a/packages/agateferry-jobs/agateferry_jobs/cell/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/__init__.py
@@ -1,1 +1,1 @@
-"""The leader of the cell: it alone decides, and every decision is in the replicated ledger."""
+"""The leader of the cell: it alone decides, and each decision is in the replicated ledger."""
--- a/packages/agateferry-jobs/agateferry_jobs/cell/callers.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/call_handler.py
@@ -1,4 +1,4 @@
-"""What callers and operators ask of the leader."""
+"""Handles the calls of callers and operators: jobs, queue depths and the manifest."""
 
 from collections.abc import Callable
 
@@ -6,17 +6,17 @@
 from agateferry_jobs import metrics
 from agateferry_jobs.calls import messages
 from agateferry_jobs.cell import events
-from agateferry_jobs.cell.proposing import Proposer, reply_for
+from agateferry_jobs.cell.proposing import Proposer, reply_for_error
 from agateferry_jobs.ledger import Job, Ledger, commands
 from agateferry_jobs.ledger.specs import declared_ms
 from agateferry_jobs.manifest import Manifest, Queue
 
 NO_MANIFEST_RETRY_MS = 1_000
-"""When to come back where no manifest was given yet; operators resend theirs about as often."""
+"""When to retry while the cell has no manifest; operators resend theirs about as often."""
 
 
-class Callers:
-    """Answer for jobs, queues and the manifest."""
+class CallHandler:
+    """Checks each call against the manifest, commits its command and returns the reply."""
 
     def __init__(
         self, ledger: Ledger, proposer: Proposer, request_planning: Callable[[], None]
@@ -27,7 +27,7 @@
         self._log = EventLogger()
 
     async def submit(self, call: messages.Submit, now_ms: int) -> messages.Reply:
-        """Store a job, once, whatever number of times it is handed in."""
+        """Accept a job; submitting the same id again in its queue succeeds and changes nothing."""
         reply = await self._submit(call, now_ms)
         if not isinstance(reply, messages.Done):
             self._log.info(
@@ -36,11 +36,11 @@
         return reply
 
     async def _submit(self, call: messages.Submit, now_ms: int) -> messages.Reply:
-        found = self._admit(call.target)
+        found = self._resolve_target(call.target)
         if not isinstance(found, tuple):
             return found
         queue, team = found
-        id = _id_in(call.target.path, queue)
+        id = _job_id_in(call.target.path, queue)
         if not id or call.job is None:
             return messages.Invalid(call.parse_error or "no id in the path")
         known = self._ledger.jobs.get(id)
@@ -53,9 +53,9 @@
         command = commands.AcceptJob(
             id, queue.name, queue.service, team, queue.priority, queue.attempts, now_ms, call.job
         )
-        outcome = await self._proposer.propose(command)
-        if outcome.is_error():
-            return reply_for(outcome.error)
+        result = await self._proposer.propose(command)
+        if result.is_error():
+            return reply_for_error(result.error)
         metrics.ACCEPTED.labels(str(queue.priority)).inc()
         self._log.info(
             events.JOB_ACCEPTED,
@@ -64,48 +64,48 @@
             team=team,
             priority=queue.priority,
             objective_ms=round(queue.stretch * declared_ms(call.job) + queue.target_ms),
-            steps=_shape(call),
+            steps=_step_summaries(call),
         )
         self._request_planning()
         return messages.Done()
 
     def get_status(self, call: messages.GetStatus) -> messages.Reply:
-        """Tell how far a job got, or how many jobs of a queue wait."""
-        found = self._admit(call.target)
+        """Return a job's state or, where the path has no id, how many jobs wait in the queue."""
+        found = self._resolve_target(call.target)
         if not isinstance(found, tuple):
             return found
         queue, _ = found
-        id = _id_in(call.target.path, queue)
+        id = _job_id_in(call.target.path, queue)
         if not id:
-            return messages.QueueDepth(self._waiting_in(queue))
-        job = self._job(id, queue)
+            return messages.QueueDepth(self._queue_depth(queue))
+        job = self._find_job(id, queue)
         return messages.JobStatus(job.state) if job is not None else messages.UnknownJob()
 
     async def cancel(self, call: messages.Cancel, now_ms: int) -> messages.Reply:
-        """Cancel a job; one that is over stays as it is."""
-        found = self._admit(call.target)
+        """Cancel a job; one that has ended stays as it is."""
+        found = self._resolve_target(call.target)
         if not isinstance(found, tuple):
             return found
         queue, _ = found
-        job = self._job(_id_in(call.target.path, queue), queue)
+        job = self._find_job(_job_id_in(call.target.path, queue), queue)
         if job is None:
             return messages.UnknownJob()
         if not job.is_over:
-            outcome = await self._proposer.propose(commands.CancelJob(job.id, now_ms))
-            if outcome.is_error():
-                return reply_for(outcome.error)
+            result = await self._proposer.propose(commands.CancelJob(job.id, now_ms))
+            if result.is_error():
+                return reply_for_error(result.error)
             self._log.info(events.JOB_CANCELLED, job=job.id, had_started=job.has_started)
             self._request_planning()
         return messages.Done()
 
     async def install(self, manifest: Manifest) -> messages.Reply:
-        """Bring a manifest in force; one that is not newer is acknowledged and changes nothing."""
+        """Put a manifest in force; one that is not newer is acknowledged and changes nothing."""
         current = self._ledger.manifest
         if current is not None and manifest.version <= current.version:
             return messages.Done()
-        outcome = await self._proposer.propose(commands.PutManifest(manifest))
-        if outcome.is_error():
-            return reply_for(outcome.error)
+        result = await self._proposer.propose(commands.PutManifest(manifest))
+        if result.is_error():
+            return reply_for_error(result.error)
         self._log.info(events.MANIFEST_IN_FORCE, version=manifest.version)
         self._request_planning()
         return messages.Done()
@@ -117,8 +117,8 @@
             return messages.Refused("no manifest yet", NO_MANIFEST_RETRY_MS)
         return messages.ManifestRead(manifest.source)
 
-    def _admit(self, target: messages.CallTarget) -> tuple[Queue, str] | messages.Reply:
-        """Return the queue and the team's name, or why the call is not taken."""
+    def _resolve_target(self, target: messages.CallTarget) -> tuple[Queue, str] | messages.Reply:
+        """Return the queue and the team's name, or the reply that rejects the call."""
         manifest = self._ledger.manifest
         if manifest is None:
             return messages.Refused("no manifest yet", NO_MANIFEST_RETRY_MS)
@@ -130,11 +130,11 @@
             return messages.InvalidApiKey()
         return queue, team.name if team is not None else ""
 
-    def _job(self, id: str, queue: Queue) -> Job | None:
+    def _find_job(self, id: str, queue: Queue) -> Job | None:
         job = self._ledger.jobs.get(id)
         return job if job is not None and job.queue == queue.name else None
 
-    def _waiting_in(self, queue: Queue) -> int:
+    def _queue_depth(self, queue: Queue) -> int:
         return sum(
             1
             for job in self._ledger.jobs.values()
@@ -142,11 +142,11 @@
         )
 
 
-def _id_in(path: str, queue: Queue) -> str:
+def _job_id_in(path: str, queue: Queue) -> str:
     return path[len(queue.prefix) :]
 
 
-def _shape(call: messages.Submit) -> list[str]:
+def _step_summaries(call: messages.Submit) -> list[str]:
     steps = call.job.steps if call.job is not None else ()
     return [
         f"{s.count}x{s.need.cpu}c{s.need.mem_mb}m{s.need.gpu}g{'G' if s.is_gang else ''}"
--- a/packages/agateferry-jobs/agateferry_jobs/cell/events.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/events.py
@@ -2,22 +2,40 @@
 
 from agateferry_core.logs import Event
 
-LEADING = Event(7301, "leading the cell", "Nothing to do.")
+LEADING = Event(7301, "leading the cell", "Nothing to do unless the leader changes often.")
 NOT_LEADING = Event(7302, "no longer leading the cell", "Nothing to do; another host takes over.")
-JOB_ACCEPTED = Event(7310, "job accepted", "Nothing to do.")
-JOB_REFUSED = Event(7311, "job refused", "Look at the reason.")
-JOB_CANCELLED = Event(7312, "job cancelled", "Nothing to do.")
-JOB_ENDED = Event(7313, "job ended", "Nothing to do.")
-RUN_STARTED = Event(7320, "run placed", "Nothing to do.")
-RUN_ENDED = Event(7321, "run ended", "Look at how and at the worker where it is not done.")
-RUN_STOPPING = Event(7322, "run is being stopped", "Look at the reason.")
-WORKER_NOTED = Event(7330, "worker joined or changed", "Nothing to do.")
-WORKER_GONE = Event(7331, "worker left", "Nothing to do.")
+JOB_ACCEPTED = Event(7310, "job accepted", "Nothing to do; 7320 follows for each run of the job.")
+JOB_REFUSED = Event(
+    7311, "job not accepted", "See the reason; flaw says what is wrong with the job's description."
+)
+JOB_CANCELLED = Event(
+    7312, "job cancelled", "Nothing to do; 7322 follows for each run of the job that is active."
+)
+JOB_ENDED = Event(7313, "job ended", "If the state is failed, see why its runs ended in 7321.")
+RUN_STARTED = Event(7320, "run placed", "Nothing to do; 7321 says how the run ended.")
+RUN_ENDED = Event(7321, "run ended", "Unless how is done, see the worker's own log.")
+RUN_STOPPING = Event(
+    7322, "run is being stopped", "See the reason; room means preempted for the job in for_job."
+)
+WORKER_UPDATED = Event(
+    7330,
+    "worker joined or changed",
+    "Nothing to do unless the same worker is logged again and again.",
+)
+WORKER_LEFT = Event(
+    7331, "worker left", "If the worker was not meant to end or restart, see its own log."
+)
 WORKER_SUSPECT = Event(
-    7332, "worker suspected", "Look at the worker's own log if its runs fail or stand still."
+    7332,
+    "worker excluded from new runs for a while",
+    "See the worker's own log for why its runs fail or make no progress.",
+)
+MANIFEST_IN_FORCE = Event(
+    7340, "manifest in force", "Nothing to do if this is the version that you sent last."
 )
-MANIFEST_IN_FORCE = Event(7340, "manifest in force", "Nothing to do.")
 PROPOSAL_FAILED = Event(
-    7350, "command without an outcome", "Nothing to do when leadership changed; else see the disk."
+    7350,
+    "command not committed or its outcome unknown",
+    "Nothing to do if leadership changed; otherwise check the host's disk.",
 )
-TASK_FAILED = Event(7351, "task failed", "Report the traceback.")
+TASK_FAILED = Event(7351, "background task failed", "Report the exception that detail names.")
--- a/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
@@ -1,4 +1,4 @@
-"""Putting commands into the replicated log."""
+"""Proposing commands to the replicated log."""
 
 from typing import Any
 
@@ -12,14 +12,14 @@
 
 
 class Proposer:
-    """Propose commands and log those that have no outcome."""
+    """Proposes commands and logs those that were not committed or whose outcome is unknown."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
         self._log = EventLogger()
 
     async def propose(self, command: commands.Command) -> Result[Any, ProposeError]:
-        """Return the outcome of a command once it is stored and applied here."""
+        """Return the result of a command once it is committed and applied on this host."""
         match await self._replica.propose(commands.encode(command)):
             case Result(tag="ok", ok=applied):
                 return Ok(applied.outcome)
@@ -33,8 +33,8 @@
                 return Error(error)
 
 
-def reply_for(error: ProposeError) -> messages.Reply:
-    """Return what is told to the one who asked for a command without an outcome."""
+def reply_for_error(error: ProposeError) -> messages.Reply:
+    """Return the reply to a call whose command failed with `error`."""
     if error.kind is ProposeErrorKind.UNKNOWN:
         return messages.OutcomeUnknown(error.detail or error.kind)
     return messages.NotLeader(error.leader)
--- a/packages/agateferry-jobs/agateferry_jobs/cell/servicer.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/servicer.py
@@ -1,4 +1,4 @@
-"""The leader's calls as a gRPC service."""
+"""The gRPC service through which other hosts call the leader."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,19 +11,19 @@
 
 
 class LeaderServicer(rpc.LeaderServicer):
-    """Decode a question, have it answered and encode the answer."""
+    """Decodes a call, passes it to `handle` and encodes the reply."""
 
     def __init__(
-        self, answer: Callable[[messages.Call], Awaitable[messages.ReplyEnvelope]]
+        self, handle: Callable[[messages.Call], Awaitable[messages.ReplyEnvelope]]
     ) -> None:
-        self._answer = answer
+        self._handle = handle
 
     async def Ask(  # noqa: N802
         self, request: pb.LeaderAsk, context: grpc.aio.ServicerContext
     ) -> pb.LeaderAnswer:
-        """Answer one question."""
+        """Handle one call; the method's name is fixed by the gRPC service."""
         try:
             call = messages.decode_call(request.ask)
         except msgspec.DecodeError as exc:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(exc))
-        return pb.LeaderAnswer(answer=messages.encode(await self._answer(call)))
+        return pb.LeaderAnswer(answer=messages.encode(await self._handle(call)))
--- a/packages/agateferry-jobs/agateferry_jobs/cell/suspects.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/suspects.py
@@ -1,44 +1,50 @@
-"""Which workers are not to be trusted, by how runs on them ended.
+"""Workers that get no new runs for a while because runs failed there.
 
-A worker that fails everything is always free, so it draws work to itself. It is left out for a
-while once runs of two jobs failed or stood still there with none done in between; one job that
-fails everywhere puts no blame on a worker.
+A worker on which every run fails is always free, so the planner would choose it again and again. It
+is excluded once runs of two different jobs failed there with no successful run in between, so that
+one job that fails everywhere excludes no worker. A hung run has weight 2 and excludes its worker
+alone.
 """
 
 from dataclasses import dataclass, field
 
-JOBS_TO_DOUBT = 2
-"""How many different jobs must fail in a row before a worker is left out."""
-DOUBT_MS = 8_000
-"""How long a worker is left out before it is tried again."""
+FAILED_JOBS_TO_EXCLUDE = 2
+"""How many different jobs must fail on a worker, with no success in between, to exclude it."""
+EXCLUSION_MS = 8_000
+"""How long a worker gets no new runs; then it is tried again."""
 
 
 @dataclass(slots=True)
 class _Record:
-    jobs: set[str] = field(default_factory=set)
-    until_ms: int = 0
+    failed_jobs: set[str] = field(default_factory=set)
+    excluded_until_ms: int = 0
 
 
 class SuspectWorkers:
-    """Keep the record of each worker's life."""
+    """Records failed runs by worker incarnation, that is by a worker's id and `born`."""
 
     def __init__(self) -> None:
         self._records: dict[tuple[str, int], _Record] = {}
 
-    def note_done(self, worker: str, born: int) -> None:
-        """Note that a run ended as done."""
+    def record_success(self, worker: str, born: int) -> None:
+        """Forget the failures recorded for a worker; called when a run ended as done."""
         self._records.pop((worker, born), None)
 
-    def note_failed(self, worker: str, born: int, job: str, now_ms: int, weight: int = 1) -> bool:
-        """Note a run that failed or stood still; tell whether the worker is left out from now."""
+    def record_failure(
+        self, worker: str, born: int, job: str, now_ms: int, weight: int = 1
+    ) -> bool:
+        """Record a failed or hung run; return whether the worker is excluded from now on.
+
+        The run counts as `weight` failed jobs.
+        """
         record = self._records.setdefault((worker, born), _Record())
-        record.jobs.add(job)
-        if len(record.jobs) + weight - 1 < JOBS_TO_DOUBT:
+        record.failed_jobs.add(job)
+        if len(record.failed_jobs) + weight - 1 < FAILED_JOBS_TO_EXCLUDE:
             return False
-        record.until_ms = now_ms + DOUBT_MS
+        record.excluded_until_ms = now_ms + EXCLUSION_MS
         return True
 
     def is_suspect(self, worker: str, born: int, now_ms: int) -> bool:
-        """Tell whether a worker is left out now."""
+        """Return whether a worker is excluded now."""
         record = self._records.get((worker, born))
-        return record is not None and now_ms < record.until_ms
+        return record is not None and now_ms < record.excluded_until_ms
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
@@ -246,12 +246,12 @@
             self.assertIsNotNone(first_broken(), "the planted fault was not found")
 
     def test_a_lease_that_is_taken_for_over_too_soon(self):
-        self.assert_found(Lease, "is_over", lambda lease, now_ms: True)
+        self.assert_found(Lease, "is_expired", lambda lease, now_ms: True)
 
     def test_an_order_without_an_answer_that_is_not_fenced_off(self):
         def mark_uncertain(session, tracked):
             tracked.phase = Phase.UNCERTAIN
-            tracked.known_at = session._poll_number
+            tracked.phase_since_poll = session._poll_number
             session._wake.set()
 
         self.assert_found(WorkerSession, "_mark_uncertain", mark_uncertain)
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
@@ -6,7 +6,7 @@
 from agateferry_core.clock import SystemClock
 from agateferry_core.support import run_async
 from agateferry_jobs.calls import messages
-from agateferry_jobs.cell.leader import NO_PROGRESS_TIMEOUT_MS, PLAN_REST, Leader
+from agateferry_jobs.cell.leader import NO_PROGRESS_TIMEOUT_MS, PLAN_PAUSE_FACTOR, Leader
 from agateferry_jobs.ledger import JobState, Ledger, WorkerState, commands
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
@@ -261,4 +261,6 @@
                 await asyncio.sleep(0.002)
 
         self.check(scenario)
-        self.assertTrue(3 <= len(plans) <= span_s / (plan_s * (1 + PLAN_REST)) + 2, len(plans))
+        self.assertTrue(
+            3 <= len(plans) <= span_s / (plan_s * (1 + PLAN_PAUSE_FACTOR)) + 2, len(plans)
+        )
--- a/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
@@ -1,4 +1,4 @@
-"""The workers that the leader knows, and one session for the life of each."""
+"""The workers that the leader knows, with one session for the current incarnation of each."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any, Protocol
@@ -7,35 +7,35 @@
 from agateferry_core.logs import EventLogger
 from agateferry_jobs.calls import messages
 from agateferry_jobs.cell import events
-from agateferry_jobs.cell.proposing import Proposer, reply_for
+from agateferry_jobs.cell.proposing import Proposer, reply_for_error
 from agateferry_jobs.ledger import Ledger, Run, WorkerIncarnation, WorkerState, commands
 from agateferry_jobs.planning import WorkerHealth
 from agateferry_jobs.planning.fleet import RunKey
-from agateferry_jobs.workers.lease import Lease, longest_local_ms
+from agateferry_jobs.workers.lease import Lease, max_local_ms
 from agateferry_jobs.workers.session import PortFactory, SessionListener, WorkerSession
 
 
 class LeaderHooks(Protocol):
-    """What the worker registry asks of the leader."""
+    """What the worker registry needs from the leader."""
 
     def next_token(self) -> int:
-        """Return a fencing token above all before."""
+        """Return a fencing token greater than all issued before."""
 
-    def may_order(self) -> bool:
-        """Tell whether orders may go out now."""
+    def may_send_orders(self) -> bool:
+        """Return whether this host leads now, so that it may send orders to workers."""
 
-    async def store_ends(self, ends: tuple[commands.RunEnded, ...]) -> bool:
-        """Store ends."""
+    async def commit_run_ends(self, ends: tuple[commands.RunEnded, ...]) -> bool:
+        """Commit how runs ended; return whether that succeeded."""
 
     def request_planning(self) -> None:
-        """Plan soon."""
+        """Make a new plan soon."""
 
     def spawn(self, coro: Coroutine[Any, Any, Any]) -> None:
-        """Run a task that is watched."""
+        """Run a background task; an exception in it is logged."""
 
 
 class WorkerRegistry(SessionListener):
-    """Open a session for each life that the ledger holds, and close it when the life is over."""
+    """Opens a session for each worker in the ledger; closes it when that incarnation ends."""
 
     def __init__(
         self,
@@ -53,67 +53,79 @@
         self._lease_ms = lease_ms
         self._hooks = hooks
         self._proposer = proposer
-        self._sequences: dict[tuple[str, int], int] = {}
+        self._heartbeat_sequences: dict[tuple[str, int], int] = {}
         self._log = EventLogger()
 
-    def fill(self) -> None:
-        """Open the sessions of all lives in the ledger and adopt what may run there."""
-        unknown_until_ms = self._clock.now_ms() + longest_local_ms(self._lease_ms)
+    def open_sessions(self) -> None:
+        """Open a session for each worker in the ledger and adopt the runs that may run there.
+
+        Called when this host becomes leader. Earlier leaders may have granted leases up to now, so
+        a worker's lease counts as valid for one full lease from now.
+        """
+        earlier_leases_until_ms = self._clock.now_ms() + max_local_ms(self._lease_ms)
         for incarnation in self._ledger.workers.values():
-            self._open(incarnation, unknown_until_ms)
+            self._open_session(incarnation, earlier_leases_until_ms)
         lost = self._adopt_all()
         if lost:
-            self._hooks.spawn(self._lose(lost))
+            self._hooks.spawn(self._commit_lost_runs(lost))
 
-    async def clear(self) -> None:
+    async def close_sessions(self) -> None:
         """Close all sessions."""
         sessions, self.sessions = self.sessions, {}
         for session in sessions.values():
             await session.close()
 
     async def on_heartbeat(self, heartbeat: messages.Heartbeat) -> messages.Reply:
-        """Take in what a worker says of itself; an answer says that it is stored."""
+        """Register a worker, or record its new state; `Done` means that this is committed.
+
+        A heartbeat with a lower sequence number than one handled before changes nothing.
+        """
         incarnation = heartbeat.worker
         key = (incarnation.id, incarnation.born)
-        if heartbeat.sequence < self._sequences.get(key, -1):
+        if heartbeat.sequence < self._heartbeat_sequences.get(key, -1):
             return messages.Done()
         known = self._ledger.workers.get(incarnation.id)
         if known != incarnation and not self._is_outdated(incarnation):
-            outcome = await self._proposer.propose(commands.NoteWorker(incarnation))
-            if outcome.is_error():
-                return reply_for(outcome.error)
-            if outcome.ok:
+            result = await self._proposer.propose(commands.NoteWorker(incarnation))
+            if result.is_error():
+                return reply_for_error(result.error)
+            if result.ok:
                 self._log.info(
-                    events.WORKER_NOTED,
+                    events.WORKER_UPDATED,
                     worker=incarnation.id,
                     born=incarnation.born,
                     state=incarnation.state,
                     rack=incarnation.rack,
                 )
-                await self._renew(incarnation)
-        self._sequences[key] = heartbeat.sequence
+                await self._register(incarnation)
+        self._heartbeat_sequences[key] = heartbeat.sequence
         session = self.sessions.get(incarnation.id)
         if session is not None and session.incarnation.born == incarnation.born:
             session.record_heartbeat()
         return messages.Done()
 
     async def on_deregister(self, worker: str) -> messages.Reply:
-        """Take in that a worker ends; what ran there is over."""
+        """Remove a worker that shuts down and end its runs as lost."""
         incarnation = self._ledger.workers.get(worker)
-        if incarnation is not None and not await self._remove(incarnation):
+        if incarnation is not None and not await self._deregister(incarnation):
             return messages.OutcomeUnknown("not stored")
         return messages.Done()
 
-    def start(self, start: commands.RunStart, payload: str) -> None:
-        """Order a run whose intent is stored."""
+    def start_run(self, start: commands.RunStart, payload: str) -> None:
+        """Send the start order of a run whose start is committed.
+
+        If the worker has left or restarted since, the run is ended as lost.
+        """
         session = self.sessions.get(start.run.worker)
         if session is not None and session.incarnation.born == start.run.born:
-            session.start(start, payload)
+            session.start_run(start, payload)
         else:
-            self._hooks.spawn(self._lose((_lost((start.job, start.subtask), start.run),)))
+            self._hooks.spawn(
+                self._commit_lost_runs((_lost_run((start.job, start.subtask), start.run),))
+            )
 
-    def stop(self, key: RunKey, run: Run) -> bool:
-        """Have a run stopped; tell whether that is news."""
+    def stop_run(self, key: RunKey, run: Run) -> bool:
+        """Stop a run; return False where it is not tracked or is being stopped already."""
         session = self.sessions.get(run.worker)
         tracked = session.runs.get(key) if session is not None else None
         if session is None or tracked is None or tracked.run != run or tracked.is_stopping:
@@ -121,8 +133,8 @@
         session.stop_run(key)
         return True
 
-    def stopping(self) -> set[RunKey]:
-        """Return the runs that are being stopped."""
+    def stopping_runs(self) -> set[RunKey]:
+        """Return the keys of runs that are being stopped."""
         return {
             key
             for session in self.sessions.values()
@@ -131,62 +143,69 @@
         }
 
     def health(self, is_suspect: Callable[[str, int], bool]) -> dict[str, WorkerHealth]:
-        """Return what the planner needs to know of each worker."""
+        """Return each worker's health for the planner, by worker id."""
         return {
             id: session.health(is_suspect(id, session.incarnation.born))
             for id, session in self.sessions.items()
         }
 
-    async def settle(self) -> None:
-        """Conclude runs that no worker can tell of, and take over those that nobody looks after."""
-        await self._lose(self._adopt_all())
+    async def end_lost_runs(self) -> None:
+        """Adopt runs that no session tracks, and end those that no worker can report any more.
+
+        These are runs of workers that left or restarted, and all runs of a worker that does not
+        answer and whose lease has expired.
+        """
+        await self._commit_lost_runs(self._adopt_all())
         for session in list(self.sessions.values()):
             is_silent = not session.health(False).answers
-            if session.runs and is_silent and session.is_lease_over():
-                await self._lose(session.lose_all())
+            if session.runs and is_silent and session.is_lease_expired():
+                await self._commit_lost_runs(session.ends_as_lost())
 
     def next_token(self) -> int:
-        """Return a fencing token above all before."""
+        """Return a fencing token greater than all issued before."""
         return self._hooks.next_token()
 
-    def may_order(self) -> bool:
-        """Tell whether orders may go out now."""
-        return self._hooks.may_order()
+    def may_send_orders(self) -> bool:
+        """Return whether this host leads now, so that it may send orders to workers."""
+        return self._hooks.may_send_orders()
 
-    async def store_ends(self, ends: tuple[commands.RunEnded, ...]) -> bool:
-        """Store ends."""
-        return await self._hooks.store_ends(ends)
+    async def commit_run_ends(self, ends: tuple[commands.RunEnded, ...]) -> bool:
+        """Commit how runs ended; return whether that succeeded."""
+        return await self._hooks.commit_run_ends(ends)
 
     def request_planning(self) -> None:
-        """Plan soon."""
+        """Make a new plan soon."""
         self._hooks.request_planning()
 
     def on_incarnation_replaced(self, incarnation: WorkerIncarnation) -> None:
-        """Conclude the runs of a life that is over; its successor makes itself known."""
-        self._hooks.spawn(self._remove(incarnation))
+        """Remove a replaced incarnation; the new one registers by its own heartbeat."""
+        self._hooks.spawn(self._deregister(incarnation))
 
     def _is_outdated(self, incarnation: WorkerIncarnation) -> bool:
-        """Tell whether a younger life is known at the same address."""
+        """Return whether a newer incarnation is registered at the same address."""
         return any(
             other.address == incarnation.address and other.born > incarnation.born
             for other in self._ledger.workers.values()
         )
 
-    async def _renew(self, incarnation: WorkerIncarnation) -> None:
-        """Open a session for a new life and conclude the lives that it follows."""
+    async def _register(self, incarnation: WorkerIncarnation) -> None:
+        """Open a session for a new incarnation and remove the older ones at its address.
+
+        If the incarnation has a session already, only its recorded state is replaced.
+        """
         session = self.sessions.get(incarnation.id)
         if session is not None and session.incarnation.born == incarnation.born:
             session.incarnation = incarnation
             self.request_planning()
             return
         if session is not None:
-            await self._close(session)
+            await self._close_session(session)
         for other in list(self._ledger.workers.values()):
             if other.address == incarnation.address and other.born < incarnation.born:
-                await self._remove(other)
-        self._open(incarnation, unknown_until_ms=0)
+                await self._deregister(other)
+        self._open_session(incarnation, earlier_leases_until_ms=0)
 
-    async def _remove(self, incarnation: WorkerIncarnation) -> bool:
+    async def _deregister(self, incarnation: WorkerIncarnation) -> bool:
         gone = WorkerIncarnation(
             incarnation.id,
             incarnation.born,
@@ -196,39 +215,40 @@
             incarnation.capacity,
             state=WorkerState.GONE,
         )
-        outcome = await self._proposer.propose(commands.NoteWorker(gone))
-        if outcome.is_error():
+        result = await self._proposer.propose(commands.NoteWorker(gone))
+        if result.is_error():
             return False
-        self._log.info(events.WORKER_GONE, worker=incarnation.id, born=incarnation.born)
+        self._log.info(events.WORKER_LEFT, worker=incarnation.id, born=incarnation.born)
         session = self.sessions.get(incarnation.id)
         if session is not None and session.incarnation.born == incarnation.born:
-            await self._close(session)
+            await self._close_session(session)
         return True
 
-    async def _close(self, session: WorkerSession) -> None:
-        ends = session.lose_all()
+    async def _close_session(self, session: WorkerSession) -> None:
+        ends = session.ends_as_lost()
         self.sessions.pop(session.incarnation.id, None)
         await session.close()
-        await self._lose(ends)
+        await self._commit_lost_runs(ends)
 
-    async def _lose(self, ends: tuple[commands.RunEnded, ...]) -> None:
-        if not ends or not await self._hooks.store_ends(ends):
+    async def _commit_lost_runs(self, ends: tuple[commands.RunEnded, ...]) -> None:
+        if not ends or not await self._hooks.commit_run_ends(ends):
             return
         for end in ends:
             session = self.sessions.get(end.run.worker)
             if session is not None:
                 session.forget((end.job, end.subtask), end.run)
 
-    def _open(self, incarnation: WorkerIncarnation, unknown_until_ms: int) -> None:
-        lease = Lease(self._lease_ms, unknown_until_ms)
+    def _open_session(self, incarnation: WorkerIncarnation, earlier_leases_until_ms: int) -> None:
+        lease = Lease(self._lease_ms, earlier_leases_until_ms)
         self.sessions[incarnation.id] = WorkerSession(
             incarnation, self._make_port(incarnation), self, self._clock, lease
         )
 
     def _adopt_all(self) -> tuple[commands.RunEnded, ...]:
-        """Have each run of the ledger looked after; return those whose worker's life is over.
+        """Have a session track each active run; return ends for runs of incarnations that ended.
 
-        A start whose storing had no clear outcome is in the ledger without ever being ordered.
+        A run can be in the ledger although no order was sent: the outcome of committing its start
+        was unknown to the leader that proposed it.
         """
         lost = []
         for job in self._ledger.jobs.values():
@@ -238,11 +258,11 @@
                     continue
                 session = self.sessions.get(run.worker)
                 if session is None or session.incarnation.born != run.born:
-                    lost.append(_lost((job.id, name), run))
+                    lost.append(_lost_run((job.id, name), run))
                 else:
                     session.adopt((job.id, name), run)
         return tuple(lost)
 
 
-def _lost(key: RunKey, run: Run) -> commands.RunEnded:
+def _lost_run(key: RunKey, run: Run) -> commands.RunEnded:
     return commands.RunEnded(key[0], key[1], run, commands.RunOutcome.LOST)
--- a/packages/agateferry-jobs/agateferry_jobs/workers/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to workers, their leases, and what they tell of their runs."""
+"""Orders to workers, their leases, and the run lists that they return."""
 
 from agateferry_jobs.workers.port import (
     Confirmed,
--- a/packages/agateferry-jobs/agateferry_jobs/workers/lease.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/lease.py
@@ -1,56 +1,64 @@
-"""Until when a worker may keep running what it holds.
+"""The lease of a worker: until when it may keep its runs going without hearing from the leader.
 
-Deadlines are on the worker's own steady clock, which may be slow by `MAX_DRIFT`. A reading of it
-that came with an answer is a lower bound at the time of arrival, so a deadline is surely past once
-the local clock has gone on from there by the difference, stretched by the drift.
+Deadlines are on the worker's own monotonic clock, which may run slow by `MAX_CLOCK_DRIFT`. The
+reading in an answer is a lower bound of that clock when the answer arrives. So a deadline has
+certainly passed once the local clock has advanced since then by the remaining time, stretched by
+the drift.
 """
 
 import math
 
-MAX_DRIFT = 0.02
-"""The share by which a worker's clock may be slow, as the platform's pages state it."""
-MARGIN_MS = 150
-"""What is waited beyond the end of a lease: the worker kills its runs a moment after it."""
+MAX_CLOCK_DRIFT = 0.02
+"""The share by which a worker's clock may run slow, as the platform's documentation states."""
+EXPIRY_MARGIN_MS = 150
+"""Time waited beyond a lease's end, because the worker kills its runs a moment after it."""
 
 
 class Lease:
-    """The newest deadline that one worker may have been given."""
+    """The latest deadline that one worker may have received.
 
-    def __init__(self, length_ms: int, unknown_until_ms: int) -> None:
-        self._length_ms = length_ms
-        self._unknown_until_ms = unknown_until_ms
+    A lease lasts `duration_ms` from each order. `earlier_leases_until_ms`, on the local clock, is
+    when all leases that earlier leaders may have granted have expired.
+    """
+
+    def __init__(self, duration_ms: int, earlier_leases_until_ms: int) -> None:
+        self._duration_ms = duration_ms
+        self._earlier_leases_until_ms = earlier_leases_until_ms
         self._clock_ms: int | None = None
         self._read_at_ms = 0
         self._deadline_ms = 0
 
     @property
     def has_clock(self) -> bool:
-        """Tell whether the worker's clock was ever read."""
+        """Return whether a reading of the worker's clock has arrived."""
         return self._clock_ms is not None
 
     def read_clock(self, clock_ms: int, now_ms: int) -> None:
-        """Take a reading that has just arrived."""
+        """Record a reading of the worker's clock that has just arrived; an older one is ignored."""
         if self._clock_ms is None or clock_ms >= self._clock_ms:
             self._clock_ms = clock_ms
             self._read_at_ms = now_ms
 
-    def next_deadline(self, now_ms: int) -> int | None:
-        """Return the deadline for an order that is sent now, and count it as given."""
+    def grant_deadline(self, now_ms: int) -> int | None:
+        """Return the deadline for an order that is sent now; None before the first clock reading.
+
+        The deadline counts as granted, whether or not the order arrives.
+        """
         if self._clock_ms is None:
             return None
-        deadline_ms = self._clock_ms + now_ms - self._read_at_ms + self._length_ms
+        deadline_ms = self._clock_ms + now_ms - self._read_at_ms + self._duration_ms
         self._deadline_ms = max(self._deadline_ms, deadline_ms)
         return deadline_ms
 
-    def is_over(self, now_ms: int) -> bool:
-        """Tell whether no run can go on under any deadline given so far."""
-        over_ms = self._unknown_until_ms
+    def is_expired(self, now_ms: int) -> bool:
+        """Return whether every lease granted so far has expired, so that no run can be going on."""
+        expiry_ms = self._earlier_leases_until_ms
         if self._clock_ms is not None and self._deadline_ms:
             left_ms = max(0, self._deadline_ms - self._clock_ms)
-            over_ms = max(over_ms, self._read_at_ms + longest_local_ms(left_ms))
-        return now_ms >= over_ms
+            expiry_ms = max(expiry_ms, self._read_at_ms + max_local_ms(left_ms))
+        return now_ms >= expiry_ms
 
 
-def longest_local_ms(worker_ms: int) -> int:
-    """Return how long a time on a worker's clock may take on the local one, with the margin."""
-    return math.ceil(worker_ms / (1 - MAX_DRIFT)) + MARGIN_MS
+def max_local_ms(worker_ms: int) -> int:
+    """Return the local time, margin included, within which a worker's clock passes `worker_ms`."""
+    return math.ceil(worker_ms / (1 - MAX_CLOCK_DRIFT)) + EXPIRY_MARGIN_MS
--- a/packages/agateferry-jobs/agateferry_jobs/workers/port.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/port.py
@@ -1,4 +1,4 @@
-"""What can be asked of one worker, and what may come back; how it is said is the platform's."""
+"""The orders that a worker takes and its answers; the platform package implements the protocol."""
 
 from dataclasses import dataclass
 from typing import ClassVar, Protocol
@@ -8,7 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """Start a run; `deadline_ms` is on the worker's clock and extends its lease."""
+    """Start a run.
+
+    `deadline_ms` is on the worker's clock and extends its lease. A worker refuses orders with a
+    lower fencing `token` than it has seen.
+    """
 
     key: RunKey
     run: int
@@ -20,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Stop a run, and refuse it where it has not begun."""
+    """Stop a run; a worker where it has not begun refuses to start it from then on."""
 
     key: RunKey
     run: int
@@ -29,9 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PollOrder:
-    """Extend the lease of all that runs, forget ends up to `cursor` and list the rest.
+    """Extend the lease of all running runs, drop ends up to number `cursor` and list the rest.
 
-    `deadline_ms` is on the worker's clock; None extends nothing. The answer may take `wait_ms`.
+    `deadline_ms` is on the worker's clock; None extends nothing. The worker may wait for up to
+    `wait_ms` for a run to end before it answers.
     """
 
     deadline_ms: int | None
@@ -42,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningRun:
-    """One run that a worker lists as running; `percent` is how far it got."""
+    """A run that a worker lists as running; `percent` is its progress, 0 to 100."""
 
     key: RunKey
     run: int
@@ -52,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishedRun:
-    """One end that a worker lists; `number` counts the ends of its life."""
+    """A run that a worker lists as ended; `number` counts the ends of its incarnation."""
 
     number: int
     key: RunKey
@@ -63,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirmed:
-    """An order was carried out."""
+    """The order was carried out; `clock_ms` reads the worker's clock."""
 
     label: ClassVar[str] = "Confirmed"
 
@@ -72,7 +77,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunLists:
-    """The lists of a worker; `born` is None where the worker did not say it."""
+    """The running and ended runs of a worker, in answer to a poll.
+
+    `born` names the worker's incarnation, None where the answer has none.
+    """
 
     label: ClassVar[str] = "Listed"
 
@@ -84,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """An order was refused and did nothing."""
+    """The order was refused and had no effect."""
 
     label: ClassVar[str] = "Rejected"
 
@@ -94,18 +102,18 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationMismatch:
-    """Another life runs at the address."""
+    """Another incarnation of the worker runs at the address."""
 
     label: ClassVar[str] = "OtherLife"
 
     def __str__(self) -> str:
-        """Return the text that the log has for this answer."""
+        """Return the text that log events contain for this answer."""
         return f"{self.label}()"
 
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """Nothing, or nothing that can be read, came back; the order may still be carried out."""
+    """No readable answer came; the order may have been carried out, or may be later."""
 
     label: ClassVar[str] = "NoAnswer"
 
@@ -116,18 +124,18 @@
 
 
 class WorkerPort(Protocol):
-    """Carry orders to one life of one worker."""
+    """Sends orders to one incarnation of one worker."""
 
     async def start(self, order: StartOrder, timeout_ms: int) -> Answer:
-        """Order a start."""
+        """Send a start order."""
 
     async def stop(self, order: StopOrder, timeout_ms: int) -> Answer:
-        """Order a stop."""
+        """Send a stop order."""
 
     async def poll(
         self, order: PollOrder, timeout_ms: int
     ) -> RunLists | Rejected | IncarnationMismatch | NoAnswer:
-        """Extend the lease and ask for the lists."""
+        """Extend the lease and return the worker's lists of runs."""
 
     async def close(self) -> None:
         """Close all connections."""
--- a/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
@@ -26,10 +26,10 @@
         self.tokens += 1
         return self.tokens
 
-    def may_order(self):
+    def may_send_orders(self):
         return True
 
-    async def store_ends(self, ends):
+    async def commit_run_ends(self, ends):
         if self.stores:
             self.ends += ends
         return self.stores
@@ -42,11 +42,11 @@
 
 
 class SessionCase(testtools.TestCase):
-    async def begin(self, unknown_until_ms=0):
+    async def begin(self, earlier_leases_until_ms=0):
         self.clock = SystemClock()
         self.worker = ModelWorker(self.clock)
         self.listener = Listener()
-        lease = Lease(8000, unknown_until_ms)
+        lease = Lease(8000, earlier_leases_until_ms)
         self.session = WorkerSession(worker("w1"), self.worker, self.listener, self.clock, lease)
         await self.until(lambda: self.session.health(False).answers, "contact")
 
@@ -75,7 +75,7 @@
     def test_a_lost_order_is_asked_again_and_runs_once(self):
         async def scenario():
             self.worker.loses_orders = 1
-            self.session.start(start_of(*KEY), "payload")
+            self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: KEY in self.worker.running, "start")
             self.worker.carry_out(self.worker.late[0])
             self.assertEqual([(KEY, 1)], self.worker.starts)
@@ -85,7 +85,7 @@
     def test_a_start_without_any_answer_is_refused_once_its_order_can_do_nothing(self):
         async def scenario():
             self.worker.loses_orders = 2
-            self.session.start(start_of(*KEY), "payload")
+            self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: self.outcomes() == [RunOutcome.REFUSED], "refused")
             for order in self.worker.late:
                 self.worker.carry_out(order)
@@ -96,7 +96,7 @@
     def test_a_start_that_was_carried_out_without_an_answer_is_found(self):
         async def scenario():
             self.worker.loses_orders = 2
-            self.session.start(start_of(*KEY), "payload")
+            self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: self.worker.late, "lost order")
             self.worker.carry_out(self.worker.late[0])
             await asyncio.sleep(0.3)
@@ -128,7 +128,7 @@
     def test_an_end_is_forgotten_only_once_it_is_stored(self):
         async def scenario():
             self.listener.stores = False
-            self.session.start(start_of(*KEY), "payload")
+            self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: KEY in self.worker.running, "start")
             self.worker.end(KEY, "done")
             await asyncio.sleep(0.6)
@@ -142,14 +142,14 @@
     def test_another_life_at_the_address_ends_this_one(self):
         async def scenario():
             self.worker.born = 2
-            self.session.start(start_of(*KEY), "payload")
+            self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: self.listener.replaced_incarnations, "other life")
 
         self.check(scenario)
 
     def test_a_stop_goes_on_until_the_end_is_listed(self):
         async def scenario():
-            self.session.start(start_of(*KEY), "payload")
+            self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: KEY in self.worker.running, "start")
             self.session.stop_run(KEY)
             await self.until(lambda: self.outcomes() == [RunOutcome.STOPPED], "stopped")
