--- a/packages/agateferry-jobs/agateferry_jobs/calls/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/__init__.py
@@ -1,4 +1,4 @@
-"""What entries and followers ask the leader for, and how the leader is found."""
+"""Calls from entries and follower hosts to the leader, and the client that finds the leader."""
 
 from agateferry_jobs.calls.client import LeaderClient
 from agateferry_jobs.calls.messages import Call, Reply
--- a/packages/agateferry-jobs/agateferry_jobs/calls/events.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/events.py
@@ -2,7 +2,11 @@
 
 from agateferry_core.logs import Event
 
-ASK_FAILED = Event(7201, "call to the leader failed", "Nothing to do unless it goes on.")
-ANSWER_UNREADABLE = Event(
-    7202, "answer of another host not understood", "Run the same release on all hosts."
+CALL_FAILED = Event(
+    7201,
+    "call to the leader failed",
+    "If calls to the host go on failing, check that it runs and can be reached.",
+)
+REPLY_UNREADABLE = Event(
+    7202, "reply of another host not understood", "Run the same release on all hosts."
 )
--- a/packages/agateferry-jobs/agateferry_jobs/calls/messages.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/messages.py
@@ -1,7 +1,9 @@
-"""What the leader is asked and what it answers, and their bytes.
+"""Calls to the leader, its replies, and their encoding as MessagePack.
 
-`OutcomeUnknown` says that the call may have had its effect; every call may be made again.
-`NotLeader` and `Refused` say that it had none.
+`OutcomeUnknown` means that the call may have had its effect. Every call may be repeated.
+`NotLeader` and `Refused` mean that it had none.
+
+`label` is the text of a message in metrics and logs.
 """
 
 from typing import ClassVar
@@ -15,7 +17,7 @@
 
 
 class CallTarget(Struct, frozen=True):
-    """Where a caller's call went and who speaks; `key` is empty where none was given."""
+    """The host and path that a caller addressed, and its API key; empty where none was given."""
 
     host: str
     path: str
@@ -23,7 +25,7 @@
 
 
 class Submit(Struct, frozen=True, tag="submit"):
-    """Hand a job in; `job` is None where the body could not be read, and `parse_error` says why."""
+    """Submit a job; `job` is None where the body could not be parsed, as `parse_error` says."""
 
     label: ClassVar[str] = "Submit"
 
@@ -33,7 +35,7 @@
 
 
 class GetStatus(Struct, frozen=True, tag="look"):
-    """Ask how far a job got, or, without an id in the path, how many wait in a queue."""
+    """Get a job's state or, without an id in the path, the number of jobs that wait in a queue."""
 
     label: ClassVar[str] = "Look"
 
@@ -49,7 +51,10 @@
 
 
 class Heartbeat(Struct, frozen=True, tag="beat"):
-    """Bring a worker's word about itself; `remaining_ms` is what a draining one has left."""
+    """Report a worker's state; a lower `sequence` than one reported before is ignored.
+
+    `clock_ms` reads the worker's clock; `remaining_ms` is the time that a draining worker has left.
+    """
 
     label: ClassVar[str] = "Beat"
 
@@ -60,7 +65,7 @@
 
 
 class Deregister(Struct, frozen=True, tag="leave"):
-    """Say that a worker ends."""
+    """Report that a worker shuts down."""
 
     label: ClassVar[str] = "Leave"
 
@@ -68,7 +73,7 @@
 
 
 class InstallManifest(Struct, frozen=True, tag="install"):
-    """Bring a manifest in force."""
+    """Put a manifest in force if it is newer than the current one."""
 
     label: ClassVar[str] = "Install"
 
@@ -76,13 +81,13 @@
 
 
 class ReadManifest(Struct, frozen=True, tag="read-manifest"):
-    """Ask for the newest manifest."""
+    """Get the newest manifest."""
 
     label: ClassVar[str] = "ReadManifest"
 
 
 class Ping(Struct, frozen=True, tag="ping"):
-    """Ask whether a leader can be reached."""
+    """Check that the leader can be reached."""
 
     label: ClassVar[str] = "Ping"
 
@@ -97,7 +102,7 @@
 
 
 class JobStatus(Struct, frozen=True, tag="shown"):
-    """A job's state."""
+    """The state of a job."""
 
     label: ClassVar[str] = "Shown"
 
@@ -105,7 +110,7 @@
 
 
 class QueueDepth(Struct, frozen=True, tag="counted"):
-    """How many jobs of a queue wait."""
+    """The number of jobs in a queue that have not started."""
 
     label: ClassVar[str] = "Counted"
 
@@ -131,7 +136,7 @@
 
 
 class Invalid(Struct, frozen=True, tag="invalid"):
-    """What was sent cannot be taken; asking again is of no use."""
+    """The call cannot be accepted as it is; repeating it does not help."""
 
     label: ClassVar[str] = "Invalid"
 
@@ -139,7 +144,7 @@
 
 
 class ManifestRead(Struct, frozen=True, tag="manifest"):
-    """The newest manifest as its operator sent it."""
+    """The newest manifest, in the bytes that its operator sent."""
 
     label: ClassVar[str] = "ManifestRead"
 
@@ -147,7 +152,7 @@
 
 
 class Refused(Struct, frozen=True, tag="refused"):
-    """The call had no effect and will have none."""
+    """The call had no effect and will have none; it may be repeated after `retry_after_ms`."""
 
     label: ClassVar[str] = "Refused"
 
@@ -187,7 +192,7 @@
 
 
 class ReplyEnvelope(Struct, frozen=True):
-    """A reply with the hosts of the cell, so that callers of the cell learn of new ones."""
+    """A reply with the hosts of the cell, so that clients learn of new hosts."""
 
     reply: Reply
     hosts: tuple[str, ...] = ()
@@ -199,10 +204,10 @@
 
 
 def decode_call(data: bytes) -> Call:
-    """Read the bytes of a question; raises msgspec.DecodeError where they are none."""
+    """Decode a call; raises msgspec.DecodeError where the bytes are not one."""
     return _call_decoder.decode(data)
 
 
 def decode_reply(data: bytes) -> ReplyEnvelope:
-    """Read the bytes of an answer; raises msgspec.DecodeError where they are none."""
+    """Decode a reply with its envelope; raises msgspec.DecodeError where the bytes are not one."""
     return _reply_decoder.decode(data)
--- a/packages/agateferry-jobs/agateferry_jobs/calls/tests/test_messages.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/tests/test_messages.py
@@ -1,6 +1,6 @@
-"""The bytes and labels of messages stay the same whatever their classes are called.
+"""The bytes and labels of messages do not depend on the names of their classes.
 
-Hosts of two versions talk to each other during an upgrade, and dashboards match the labels.
+Hosts of two versions call each other during an upgrade, and dashboards match the labels.
 """
 
 import typing
@@ -58,14 +58,14 @@
     "state": "ready",
 }
 MANIFEST_WIRE = {"version": 7, "queues": [], "services": [], "teams": [], "source": b"src"}
-BEAT_WIRE = {"worker": WORKER_WIRE, "sequence": 5, "clock_ms": 6, "remaining_ms": 7}
+HEARTBEAT_WIRE = {"worker": WORKER_WIRE, "sequence": 5, "clock_ms": 6, "remaining_ms": 7}
 SUBMIT_WIRE = {"place": TARGET_WIRE, "job": JOB_WIRE, "flaw": "bad"}
 
 CALLS = [
     (messages.Submit(TARGET, JOB, "bad"), "Submit", {"type": "submit"} | SUBMIT_WIRE),
     (messages.GetStatus(TARGET), "Look", {"type": "look", "place": TARGET_WIRE}),
     (messages.Cancel(TARGET), "Cancel", {"type": "cancel", "place": TARGET_WIRE}),
-    (messages.Heartbeat(WORKER, 5, 6, 7), "Beat", {"type": "beat"} | BEAT_WIRE),
+    (messages.Heartbeat(WORKER, 5, 6, 7), "Beat", {"type": "beat"} | HEARTBEAT_WIRE),
     (messages.Deregister("w"), "Leave", {"type": "leave", "worker": "w"}),
     (
         messages.InstallManifest(Manifest(7, source=b"src")),
@@ -117,10 +117,10 @@
             set(typing.get_args(messages.Reply)), {type(message) for message, _, _ in REPLIES}
         )
         for message, label, wire in REPLIES:
-            answer = messages.ReplyEnvelope(message, ("h",))
-            data = messages.encode(answer)
+            envelope = messages.ReplyEnvelope(message, ("h",))
+            data = messages.encode(envelope)
             self.assertEqual({"reply": wire, "hosts": ["h"]}, msgspec.msgpack.decode(data), label)
-            self.assertEqual(answer, messages.decode_reply(data), label)
+            self.assertEqual(envelope, messages.decode_reply(data), label)
             self.assertEqual(label, message.label)
 
     def test_answers_of_workers_keep_their_labels(self):
--- a/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
@@ -78,7 +78,8 @@
     async def on_heartbeat(self, heartbeat: messages.Heartbeat) -> messages.Reply:
         """Register a worker, or record its new state; `Done` means that this is committed.
 
-        A heartbeat with a lower sequence number than one handled before changes nothing.
+        A heartbeat with a lower sequence number than one handled before, or of an incarnation that
+        is outdated, records nothing.
         """
         incarnation = heartbeat.worker
         key = (incarnation.id, incarnation.born)
@@ -121,7 +122,7 @@
             session.start_run(start, payload)
         else:
             self._hooks.spawn(
-                self._commit_lost_runs((_lost_run((start.job, start.subtask), start.run),))
+                self._commit_lost_runs((_lost_run_end((start.job, start.subtask), start.run),))
             )
 
     def stop_run(self, key: RunKey, run: Run) -> bool:
@@ -258,11 +259,11 @@
                     continue
                 session = self.sessions.get(run.worker)
                 if session is None or session.incarnation.born != run.born:
-                    lost.append(_lost_run((job.id, name), run))
+                    lost.append(_lost_run_end((job.id, name), run))
                 else:
                     session.adopt((job.id, name), run)
         return tuple(lost)
 
 
-def _lost_run(key: RunKey, run: Run) -> commands.RunEnded:
+def _lost_run_end(key: RunKey, run: Run) -> commands.RunEnded:
     return commands.RunEnded(key[0], key[1], run, commands.RunOutcome.LOST)
