--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_decisions.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Every decision of the leader writes a numbered line."""
+"""Each command that the leader proposes comes with a numbered log event."""
 
 import ast
 import typing
@@ -13,7 +13,7 @@
 
 
 def methods_of(folder):
-    """Return the methods of each class in a folder, by module, class and name."""
+    """Return the methods of each class in a folder, by module and class, then by name."""
     found = {}
     for path in sorted(folder.glob("*.py")):
         for cls in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
@@ -24,8 +24,8 @@
     return found
 
 
-def called(method):
-    """Return the last names of what a method calls."""
+def called_names(method):
+    """Return the names of the methods and attributes that a method calls, without their objects."""
     names = set()
     for node in ast.walk(method):
         if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute):
@@ -34,7 +34,7 @@
 
 
 def logs(method):
-    """Tell whether a method writes a line itself."""
+    """Return whether a method itself logs an event."""
     return any(
         isinstance(node, ast.Attribute)
         and node.attr in ("info", "warning", "error")
@@ -44,35 +44,35 @@
     )
 
 
-def decides(method):
-    """Tell whether a method makes a command of the ledger."""
-    return bool(called(method) & COMMANDS)
+def creates_command(method):
+    """Return whether a method creates a command of the ledger."""
+    return bool(called_names(method) & COMMANDS)
 
 
-def silent(methods):
-    """Return the methods that decide and write nothing, also not in methods that they call."""
+def unlogged(methods):
+    """Return the methods that create a command, but log nothing themselves or in what they call."""
     return sorted(
         name
         for name, method in methods.items()
-        if decides(method)
+        if creates_command(method)
         and not logs(method)
-        and not any(logs(methods[other]) for other in called(method) if other in methods)
+        and not any(logs(methods[other]) for other in called_names(method) if other in methods)
     )
 
 
 class DecisionTests(testtools.TestCase):
-    def test_each_command_of_the_leader_has_its_line(self):
-        for place, methods in methods_of(Path(cell.__file__).parent).items():
-            self.assertEqual([], silent(methods), place)
+    def test_each_command_of_the_leader_is_logged(self):
+        for cls, methods in methods_of(Path(cell.__file__).parent).items():
+            self.assertEqual([], unlogged(methods), cls)
 
-    def test_all_commands_are_made_there(self):
-        made = set()
+    def test_all_commands_are_created_in_the_cell_folder(self):
+        created = set()
         for methods in methods_of(Path(cell.__file__).parent).values():
             for method in methods.values():
-                made |= called(method) & COMMANDS
-        self.assertEqual(COMMANDS, made)
+                created |= called_names(method) & COMMANDS
+        self.assertEqual(COMMANDS, created)
 
-    def test_a_decision_without_a_line_is_found(self):
+    def test_a_command_that_is_not_logged_is_found(self):
         source = "class C:\n    def f(self):\n        self.propose(c.EndRuns((), 0))\n"
         (cls,) = ast.parse(source).body
-        self.assertEqual(["f"], silent({method.name: method for method in cls.body}))
+        self.assertEqual(["f"], unlogged({method.name: method for method in cls.body}))
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_invariants.py
@@ -1,7 +1,7 @@
-"""Runs and leases against workers that lose orders, carry them out late, twice and out of order.
+"""Invariants of runs and leases when workers lose orders or execute them late, twice or reordered.
 
-Everything runs in virtual time from a seed. After each step the promises are checked on what the
-workers really run, and planted faults show that the checks find what they are for.
+Everything runs in virtual time from a seed. At each tick the invariants are checked against what
+the workers really run. Injected faults in the code show that the checks find violations.
 """
 
 import asyncio
@@ -24,21 +24,21 @@
 SEEDS = range(1, 41)
 STEPS = 120
 TICK_S = 0.02
-BEAT_TICKS = 75
-PROGRESS = 0.1
-SETTLE_S = 90
-HALF = Resources(cpu=1000, mem_mb=100, gpu=4)
-SINGLE = JobSpec("payload", (StepSpec(2, HALF),))
-GANG = JobSpec("payload", (StepSpec(3, HALF, is_gang=True),))
+HEARTBEAT_TICKS = 75
+PROGRESS_STEP = 0.1
+COMPLETION_TIMEOUT_S = 90
+HALF_WORKER = Resources(cpu=1000, mem_mb=100, gpu=4)
+SINGLE = JobSpec("payload", (StepSpec(2, HALF_WORKER),))
+GANG = JobSpec("payload", (StepSpec(3, HALF_WORKER, is_gang=True),))
 LEASE_MS = 3000
 
 
-class BrokenError(Exception):
-    """A promise was broken."""
+class InvariantError(Exception):
+    """An invariant was violated."""
 
 
-class World:
-    """Three workers, one leader, and a seed that decides what happens to them."""
+class FaultScenario:
+    """Three workers and one leader, with random faults from a seed."""
 
     def __init__(self, loop, seed):
         self.clock = loop
@@ -46,8 +46,8 @@
         self.ledger = Ledger()
         self.incarnations = {f"w{number}": worker(f"w{number}") for number in range(3)}
         self.ports = {id: self.new_port(1) for id in self.incarnations}
-        self.orders = []
-        self.started_done = None
+        self.executed_late_orders = []
+        self.restarted_key = None
         self.ids = [f"{number:016x}" for number in range(8)]
         self.replica = MemoryReplica(self.ledger)
         self.leader = Leader(self.replica, self.ledger, loop, self.port_to, LEASE_MS)
@@ -60,14 +60,14 @@
             before = len(port.starts)
             answer = carry_out(order)
             if len(port.starts) > before and self.is_done(order.key):
-                self.started_done = order.key
+                self.restarted_key = order.key
             return answer
 
         port.carry_out = checked
         return port
 
     def is_done(self, key):
-        """Tell whether the end of a subtask as done is stored."""
+        """Return whether the ledger has the subtask as done."""
         job = self.ledger.jobs.get(key[0])
         return job is not None and key[1] in job.subtasks and job.subtasks[key[1]].is_done
 
@@ -78,36 +78,36 @@
             port.is_other = True
         return port
 
-    async def play(self):
+    async def run(self):
         self.replica.lead()
         await self.leader.handle(messages.InstallManifest(manifest()))
-        ticking = asyncio.create_task(self.tick_for_ever())
+        ticking = asyncio.create_task(self.tick_forever())
         try:
             for step in range(STEPS):
                 await asyncio.sleep(self.rng.uniform(0.02, 0.15))
                 if step % 12 == 0:
                     await self.submit(self.ids[step // 12 % len(self.ids)])
-                await self.rng.choice(self.troubles())()
+                await self.rng.choice(self.faults())()
                 if ticking.done():
                     break
             if not ticking.done():
-                await self.settle()
+                await self.finish_all_jobs()
         finally:
-            is_broken = ticking.done()
+            is_violated = ticking.done()
             ticking.cancel()
             await self.leader.close()
-        if is_broken:
+        if is_violated:
             ticking.result()
 
-    def troubles(self):
+    def faults(self):
         return (
-            *[self.end_a_run] * 4,
-            *[self.carry_out_late] * 2,
+            *[self.end_run] * 4,
+            *[self.execute_late_order] * 2,
             self.lose_orders,
-            self.repeat_an_order,
-            self.cut,
-            self.heal,
-            self.be_born_again,
+            self.repeat_order,
+            self.disconnect_worker,
+            self.reconnect_workers,
+            self.restart_worker,
             self.change_leader,
         )
 
@@ -118,7 +118,7 @@
     def any_port(self):
         return self.ports[self.rng.choice(sorted(self.ports))]
 
-    async def end_a_run(self):
+    async def end_run(self):
         port = self.any_port()
         if port.running:
             outcome = self.rng.choice(("done", "done", "failed"))
@@ -126,37 +126,37 @@
             port.end(key, outcome if outcome == "failed" or self.is_whole(key[0]) else "alone")
 
     def is_whole(self, job):
-        """Tell whether all members of a gang are at work; before that none can be done."""
-        held = self.ledger.jobs.get(job)
-        if held is None or not held.spec.steps[0].is_gang:
+        """Return whether all members of a gang run; before that none can end as done."""
+        accepted = self.ledger.jobs.get(job)
+        if accepted is None or not accepted.spec.steps[0].is_gang:
             return True
         members = {key for port in self.ports.values() for key in port.running if key[0] == job}
-        return len(members) == held.spec.steps[0].count
+        return len(members) == accepted.spec.steps[0].count
 
     async def lose_orders(self):
         self.any_port().loses_orders = self.rng.randint(1, 3)
 
-    async def carry_out_late(self):
+    async def execute_late_order(self):
         port = self.any_port()
         if port.late:
             order = port.late.pop(self.rng.randrange(len(port.late)))
-            self.orders.append((port, order))
+            self.executed_late_orders.append((port, order))
             port.carry_out(order)
 
-    async def repeat_an_order(self):
-        if self.orders:
-            port, order = self.rng.choice(self.orders)
+    async def repeat_order(self):
+        if self.executed_late_orders:
+            port, order = self.rng.choice(self.executed_late_orders)
             if port in self.ports.values():
                 port.carry_out(order)
 
-    async def cut(self):
+    async def disconnect_worker(self):
         self.any_port().is_cut = True
 
-    async def heal(self):
+    async def reconnect_workers(self):
         for port in self.ports.values():
             port.is_cut = False
 
-    async def be_born_again(self):
+    async def restart_worker(self):
         id = self.rng.choice(sorted(self.ports))
         old = self.ports[id]
         old.is_other = True
@@ -170,25 +170,25 @@
         await asyncio.sleep(self.rng.uniform(0.0, 1.0))
         self.replica.lead()
 
-    async def settle(self):
-        """Let all troubles end; every job must come to its end then."""
-        await self.heal()
+    async def finish_all_jobs(self):
+        """Clear all faults; every job must then end in time."""
+        await self.reconnect_workers()
         for port in self.ports.values():
             port.loses_orders = 0
-        end_s = self.clock.time() + SETTLE_S
+        end_s = self.clock.time() + COMPLETION_TIMEOUT_S
         while not all(job.is_over for job in self.ledger.jobs.values()):
             if self.clock.time() > end_s:
-                raise BrokenError("a job did not come to its end")
+                raise InvariantError("a job did not end in time")
             await asyncio.sleep(0.2)
-            await self.end_a_run()
+            await self.end_run()
 
-    async def tick_for_ever(self):
+    async def tick_forever(self):
         for tick in range(1_000_000):
             for port in self.ports.values():
                 port.lapse()
-                port.percent = (port.percent + PROGRESS) % 99
+                port.percent = (port.percent + PROGRESS_STEP) % 99
             self.check()
-            if tick % BEAT_TICKS == 0:
+            if tick % HEARTBEAT_TICKS == 0:
                 await self.heartbeat()
             await asyncio.sleep(TICK_S)
 
@@ -200,55 +200,55 @@
                 )
 
     def check(self):
-        self.check_once()
-        self.check_room()
-        if self.started_done:
-            raise BrokenError(f"{self.started_done} started after it was done")
-
-    def check_once(self):
-        held = [key for port in self.ports.values() for key in port.running]
-        for key in held:
-            if held.count(key) > 1:
-                raise BrokenError(f"{key} runs twice")
-
-    def check_room(self):
+        self.check_single_run()
+        self.check_capacity()
+        if self.restarted_key:
+            raise InvariantError(f"{self.restarted_key} started after it was done")
+
+    def check_single_run(self):
+        running = [key for port in self.ports.values() for key in port.running]
+        for key in running:
+            if running.count(key) > 1:
+                raise InvariantError(f"{key} runs twice")
+
+    def check_capacity(self):
         for port in self.ports.values():
-            if len(port.running) * HALF.gpu > WORKER_CAPACITY.gpu:
-                raise BrokenError(f"more than fits: {sorted(port.running)}")
+            if len(port.running) * HALF_WORKER.gpu > WORKER_CAPACITY.gpu:
+                raise InvariantError(f"runs exceed the worker's capacity: {sorted(port.running)}")
 
 
-def play(seed):
-    run_virtual(lambda loop: World(loop, seed).play())
+def run(seed):
+    run_virtual(lambda loop: FaultScenario(loop, seed).run())
 
 
-def first_broken(seeds=SEEDS):
-    """Return the first seed at which a promise breaks, or None."""
+def first_failing_seed(seeds=SEEDS):
+    """Return the first seed at which an invariant is violated, or None."""
     for seed in seeds:
         try:
-            play(seed)
-        except BrokenError:
+            run(seed)
+        except InvariantError:
             return seed
     return None
 
 
-class PromiseTests(testtools.TestCase):
-    def test_promises_hold_whatever_becomes_of_orders(self):
+class InvariantTests(testtools.TestCase):
+    def test_invariants_hold_whatever_happens_to_orders(self):
         for seed in SEEDS:
             try:
-                play(seed)
-            except BrokenError as exc:
+                run(seed)
+            except InvariantError as exc:
                 raise AssertionError(f"seed {seed}: {exc}") from exc
 
 
-class PlantedFaultTests(testtools.TestCase):
+class InjectedFaultTests(testtools.TestCase):
     def assert_found(self, target, name, fault):
         with mock.patch.object(target, name, fault):
-            self.assertIsNotNone(first_broken(), "the planted fault was not found")
+            self.assertIsNotNone(first_failing_seed(), "the injected fault was not found")
 
-    def test_a_lease_that_is_taken_for_over_too_soon(self):
+    def test_a_lease_that_expires_too_early(self):
         self.assert_found(Lease, "is_expired", lambda lease, now_ms: True)
 
-    def test_an_order_without_an_answer_that_is_not_fenced_off(self):
+    def test_an_unanswered_order_that_is_not_fenced_off(self):
         def mark_uncertain(session, tracked):
             tracked.phase = Phase.UNCERTAIN
             tracked.phase_since_poll = session._poll_number
@@ -256,7 +256,7 @@
 
         self.assert_found(WorkerSession, "_mark_uncertain", mark_uncertain)
 
-    def test_room_of_runs_that_are_being_stopped_or_started_does_not_count(self):
+    def test_resources_of_starting_and_stopping_runs_are_not_counted(self):
         def allocate(worker, job, subtask):
             worker.free_slots -= 1
 
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
@@ -13,7 +13,7 @@
 from agateferry_jobs.support.making import SUBTASK_RESOURCES
 from agateferry_state.replica.protocols import ProposeErrorKind
 
-WHOLE = Resources(cpu=1000, mem_mb=100, gpu=8)
+WHOLE_WORKER = Resources(cpu=1000, mem_mb=100, gpu=8)
 JOB = JobSpec("payload", (StepSpec(1, SUBTASK_RESOURCES),))
 ID = "5c0e7a21d94b36f8"
 
@@ -56,7 +56,7 @@
             if condition():
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError(f"in vain: {what}")
+        raise AssertionError(f"did not happen in time: {what}")
 
     async def running_on(self, id, count=1):
         await self.until(lambda: len(self.ports[id].running) == count, f"{count} runs on {id}")
@@ -66,7 +66,7 @@
 
 
 class CallTests(LeaderCase):
-    def test_a_job_runs_to_its_end(self):
+    def test_a_job_runs_until_it_completes(self):
         async def scenario():
             await self.heartbeat(worker("w1"))
             self.assertEqual(messages.Done(), await self.call(messages.Submit(target(), JOB)))
@@ -79,7 +79,7 @@
 
         self.check(scenario)
 
-    def test_calls_are_refused_as_the_manifest_in_force_says(self):
+    def test_calls_are_checked_against_the_manifest_in_force(self):
         async def scenario():
             self.assertEqual(
                 messages.UnknownQueue(), await self.call(messages.GetStatus(target(host="other")))
@@ -95,7 +95,7 @@
 
         self.check(scenario)
 
-    def test_a_queue_counts_what_has_not_begun(self):
+    def test_queue_depth_counts_jobs_that_have_not_started(self):
         async def scenario():
             await self.call(messages.Submit(target(), JOB))
             self.assertEqual(
@@ -109,7 +109,7 @@
 
         self.check(scenario)
 
-    def test_who_does_not_lead_answers_nothing(self):
+    def test_a_host_that_does_not_lead_names_the_leader(self):
         async def scenario():
             self.replica.is_leader = False
             self.replica.leader = "there"
@@ -120,7 +120,7 @@
 
         self.check(scenario)
 
-    def test_a_job_whose_fate_is_unknown_is_neither_accepted_nor_refused(self):
+    def test_an_uncertain_submission_gets_outcome_unknown_and_can_be_repeated(self):
         async def scenario():
             self.replica.fate = lambda _: ProposeErrorKind.UNKNOWN
             self.assertIsInstance(
@@ -133,7 +133,7 @@
 
 
 class RunTests(LeaderCase):
-    def test_no_order_goes_out_before_its_intent_is_stored(self):
+    def test_no_start_order_is_sent_before_its_command_is_committed(self):
         async def scenario():
             is_start = lambda data: isinstance(  # noqa: E731
                 commands.decode(data), commands.StartRuns
@@ -148,7 +148,7 @@
 
         self.check(scenario)
 
-    def test_a_start_that_is_stored_without_a_clear_outcome_runs_in_the_end(self):
+    def test_a_start_whose_commit_is_uncertain_still_runs(self):
         async def scenario():
             is_start = lambda data: isinstance(  # noqa: E731
                 commands.decode(data), commands.StartRuns
@@ -156,7 +156,7 @@
             self.replica.fate = lambda data: ProposeErrorKind.UNKNOWN if is_start(data) else None
             await self.heartbeat(worker("w1"))
             await self.call(messages.Submit(target(), JOB))
-            await self.until(lambda: self.ledger.jobs[ID].has_started, "stored")
+            await self.until(lambda: self.ledger.jobs[ID].has_started, "start committed")
             self.replica.fate = lambda _: None
             await self.running_on("w1")
 
@@ -173,7 +173,7 @@
 
         self.check(scenario)
 
-    def test_a_new_leader_takes_over_what_runs(self):
+    def test_a_new_leader_adopts_active_runs(self):
         async def scenario():
             await self.heartbeat(worker("w1"))
             await self.call(messages.Submit(target(), JOB))
@@ -188,7 +188,7 @@
 
 
 class WorkerTests(LeaderCase):
-    def test_a_draining_worker_gets_nothing_once_that_is_acknowledged(self):
+    def test_a_draining_worker_gets_no_runs_once_draining_is_acknowledged(self):
         async def scenario():
             await self.heartbeat(worker("w1", state=WorkerState.DRAINING))
             await self.call(messages.Submit(target(), JOB))
@@ -197,7 +197,7 @@
 
         self.check(scenario)
 
-    def test_work_of_a_life_that_is_over_runs_elsewhere_at_once(self):
+    def test_runs_of_an_ended_incarnation_are_placed_elsewhere_at_once(self):
         async def scenario():
             await self.heartbeat(worker("w1"))
             await self.call(messages.Submit(target(), JOB))
@@ -208,7 +208,7 @@
 
         self.check(scenario)
 
-    def test_work_of_a_silent_worker_runs_elsewhere_only_after_its_lease(self):
+    def test_runs_of_a_silent_worker_are_placed_elsewhere_only_after_its_lease(self):
         async def scenario():
             await self.heartbeat(worker("w1"))
             await self.call(messages.Submit(target(), JOB))
@@ -223,11 +223,11 @@
 
 
 class GangTests(LeaderCase):
-    def test_members_of_a_gang_that_did_not_start_whole_are_stopped_at_once(self):
+    def test_started_members_of_an_incomplete_gang_are_stopped_at_once(self):
         async def scenario():
             await self.heartbeat(worker("w1"))
             await self.heartbeat(worker("w2"))
-            step = StepSpec(2, WHOLE, is_gang=True)
+            step = StepSpec(2, WHOLE_WORKER, is_gang=True)
             await self.until(lambda: len(self.ports) == 2, "sessions")
             self.ports["w2"].is_full = True
             await self.call(messages.Submit(target(), JobSpec("payload", (step,))))
@@ -240,9 +240,9 @@
 
 
 class PlanningPaceTests(LeaderCase):
-    def test_changes_that_come_fast_share_plans(self):
-        """Seen with 176 workers: a plan for each change filled the leader's processor, so that
-        stops of cancelled jobs went out seconds late."""
+    def test_frequent_changes_share_plans(self):
+        """With 176 workers, a plan for each change took all of the leader's processor time, so that
+        stop orders for cancelled jobs were sent seconds late."""
         plan_s, span_s = 0.02, 0.6
         plans = []
 
--- a/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
@@ -14,7 +14,7 @@
 
 
 class Listener:
-    """Keep what a session tells."""
+    """Records what a session reports."""
 
     def __init__(self):
         self.tokens = 0
@@ -55,7 +55,7 @@
             if condition():
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError(f"in vain: {what}")
+        raise AssertionError(f"did not happen in time: {what}")
 
     def check(self, scenario):
         async def main():
@@ -72,7 +72,7 @@
 
 
 class StartTests(SessionCase):
-    def test_a_lost_order_is_asked_again_and_runs_once(self):
+    def test_a_lost_start_order_is_sent_again_and_runs_once(self):
         async def scenario():
             self.worker.loses_orders = 1
             self.session.start_run(start_of(*KEY), "payload")
@@ -82,7 +82,7 @@
 
         self.check(scenario)
 
-    def test_a_start_without_any_answer_is_refused_once_its_order_can_do_nothing(self):
+    def test_an_unanswered_start_ends_as_refused_once_its_order_is_fenced_off(self):
         async def scenario():
             self.worker.loses_orders = 2
             self.session.start_run(start_of(*KEY), "payload")
@@ -93,7 +93,7 @@
 
         self.check(scenario)
 
-    def test_a_start_that_was_carried_out_without_an_answer_is_found(self):
+    def test_a_start_that_was_executed_without_an_answer_is_found(self):
         async def scenario():
             self.worker.loses_orders = 2
             self.session.start_run(start_of(*KEY), "payload")
@@ -108,24 +108,24 @@
 
 
 class AdoptTests(SessionCase):
-    def test_a_run_of_an_earlier_leader_that_is_not_there_is_refused(self):
+    def test_an_adopted_run_that_is_not_listed_ends_as_refused(self):
         async def scenario():
             self.session.adopt(KEY, Run(1, "w1", 1))
             await self.until(lambda: self.outcomes() == [RunOutcome.REFUSED], "refused")
 
         self.check(scenario)
 
-    def test_a_run_that_nobody_ordered_here_is_stopped(self):
+    def test_a_run_that_the_ledger_does_not_place_here_is_stopped(self):
         async def scenario():
             self.worker.running[KEY] = 7
             self.session.adopt(("other", "0.0.0"), Run(1, "w1", 1))
-            await self.until(lambda: not self.worker.running, "stray stopped")
+            await self.until(lambda: not self.worker.running, "unexpected run stopped")
 
         self.check(scenario)
 
 
 class EndTests(SessionCase):
-    def test_an_end_is_forgotten_only_once_it_is_stored(self):
+    def test_an_end_is_acknowledged_only_once_it_is_committed(self):
         async def scenario():
             self.listener.stores = False
             self.session.start_run(start_of(*KEY), "payload")
@@ -134,20 +134,20 @@
             await asyncio.sleep(0.6)
             self.assertEqual(1, len(self.worker.ends))
             self.listener.stores = True
-            await self.until(lambda: not self.worker.ends, "forgotten")
+            await self.until(lambda: not self.worker.ends, "acknowledged")
             self.assertEqual([RunOutcome.DONE], self.outcomes())
 
         self.check(scenario)
 
-    def test_another_life_at_the_address_ends_this_one(self):
+    def test_another_incarnation_at_the_address_is_reported(self):
         async def scenario():
             self.worker.born = 2
             self.session.start_run(start_of(*KEY), "payload")
-            await self.until(lambda: self.listener.replaced_incarnations, "other life")
+            await self.until(lambda: self.listener.replaced_incarnations, "incarnation replaced")
 
         self.check(scenario)
 
-    def test_a_stop_goes_on_until_the_end_is_listed(self):
+    def test_a_stopped_run_ends_as_stopped(self):
         async def scenario():
             self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: KEY in self.worker.running, "start")
