--- a/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
@@ -14,7 +14,7 @@
 
 
 class Listener:
-    """Keep what a session tells."""
+    """Records what a session reports."""
 
     def __init__(self):
         self.tokens = 0
@@ -26,10 +26,10 @@
         self.tokens += 1
         return self.tokens
 
-    def may_order(self):
+    def may_send_orders(self):
         return True
 
-    async def store_ends(self, ends):
+    async def commit_run_ends(self, ends):
         if self.stores:
             self.ends += ends
         return self.stores
@@ -42,11 +42,11 @@
 
 
 class SessionCase(testtools.TestCase):
-    async def begin(self, unknown_until_ms=0):
+    async def begin(self, earlier_leases_until_ms=0):
         self.clock = SystemClock()
         self.worker = ModelWorker(self.clock)
         self.listener = Listener()
-        lease = Lease(8000, unknown_until_ms)
+        lease = Lease(8000, earlier_leases_until_ms)
         self.session = WorkerSession(worker("w1"), self.worker, self.listener, self.clock, lease)
         await self.until(lambda: self.session.health(False).answers, "contact")
 
@@ -55,7 +55,7 @@
             if condition():
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError(f"in vain: {what}")
+        raise AssertionError(f"did not happen in time: {what}")
 
     def check(self, scenario):
         async def main():
@@ -72,20 +72,20 @@
 
 
 class StartTests(SessionCase):
-    def test_a_lost_order_is_asked_again_and_runs_once(self):
+    def test_a_lost_start_order_is_sent_again_and_runs_once(self):
         async def scenario():
             self.worker.loses_orders = 1
-            self.session.start(start_of(*KEY), "payload")
+            self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: KEY in self.worker.running, "start")
             self.worker.carry_out(self.worker.late[0])
             self.assertEqual([(KEY, 1)], self.worker.starts)
 
         self.check(scenario)
 
-    def test_a_start_without_any_answer_is_refused_once_its_order_can_do_nothing(self):
+    def test_an_unanswered_start_ends_as_refused_once_its_order_is_fenced_off(self):
         async def scenario():
             self.worker.loses_orders = 2
-            self.session.start(start_of(*KEY), "payload")
+            self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: self.outcomes() == [RunOutcome.REFUSED], "refused")
             for order in self.worker.late:
                 self.worker.carry_out(order)
@@ -93,10 +93,10 @@
 
         self.check(scenario)
 
-    def test_a_start_that_was_carried_out_without_an_answer_is_found(self):
+    def test_a_start_that_was_executed_without_an_answer_is_found(self):
         async def scenario():
             self.worker.loses_orders = 2
-            self.session.start(start_of(*KEY), "payload")
+            self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: self.worker.late, "lost order")
             self.worker.carry_out(self.worker.late[0])
             await asyncio.sleep(0.3)
@@ -108,48 +108,48 @@
 
 
 class AdoptTests(SessionCase):
-    def test_a_run_of_an_earlier_leader_that_is_not_there_is_refused(self):
+    def test_an_adopted_run_that_is_not_listed_ends_as_refused(self):
         async def scenario():
             self.session.adopt(KEY, Run(1, "w1", 1))
             await self.until(lambda: self.outcomes() == [RunOutcome.REFUSED], "refused")
 
         self.check(scenario)
 
-    def test_a_run_that_nobody_ordered_here_is_stopped(self):
+    def test_a_run_that_the_ledger_does_not_place_here_is_stopped(self):
         async def scenario():
             self.worker.running[KEY] = 7
             self.session.adopt(("other", "0.0.0"), Run(1, "w1", 1))
-            await self.until(lambda: not self.worker.running, "stray stopped")
+            await self.until(lambda: not self.worker.running, "unexpected run stopped")
 
         self.check(scenario)
 
 
 class EndTests(SessionCase):
-    def test_an_end_is_forgotten_only_once_it_is_stored(self):
+    def test_an_end_is_acknowledged_only_once_it_is_committed(self):
         async def scenario():
             self.listener.stores = False
-            self.session.start(start_of(*KEY), "payload")
+            self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: KEY in self.worker.running, "start")
             self.worker.end(KEY, "done")
             await asyncio.sleep(0.6)
             self.assertEqual(1, len(self.worker.ends))
             self.listener.stores = True
-            await self.until(lambda: not self.worker.ends, "forgotten")
+            await self.until(lambda: not self.worker.ends, "acknowledged")
             self.assertEqual([RunOutcome.DONE], self.outcomes())
 
         self.check(scenario)
 
-    def test_another_life_at_the_address_ends_this_one(self):
+    def test_another_incarnation_at_the_address_is_reported(self):
         async def scenario():
             self.worker.born = 2
-            self.session.start(start_of(*KEY), "payload")
-            await self.until(lambda: self.listener.replaced_incarnations, "other life")
+            self.session.start_run(start_of(*KEY), "payload")
+            await self.until(lambda: self.listener.replaced_incarnations, "incarnation replaced")
 
         self.check(scenario)
 
-    def test_a_stop_goes_on_until_the_end_is_listed(self):
+    def test_a_stopped_run_ends_as_stopped(self):
         async def scenario():
-            self.session.start(start_of(*KEY), "payload")
+            self.session.start_run(start_of(*KEY), "payload")
             await self.until(lambda: KEY in self.worker.running, "start")
             self.session.stop_run(KEY)
             await self.until(lambda: self.outcomes() == [RunOutcome.STOPPED], "stopped")
