--- a/packages/agateferry-cli/agateferry_cli/verbs/analyze.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/analyze.py
@@ -21,15 +21,15 @@
     """
     output = Output(json)
     # Imported here because it would slow the start of every other verb.
-    from agateferry_jobs.history import collect
-    from agateferry_jobs.history.causes import late_seconds, thrown_away
+    from agateferry_jobs.history import collect_jobs
+    from agateferry_jobs.history.causes import late_seconds, lost_accelerator_seconds
 
     found = read_logs(files)
     if found.is_error():
         return output.failure(found.error)
-    jobs = collect(found.ok).values()
+    jobs = collect_jobs(found.ok).values()
     late = late_seconds(jobs, until_ms=found.ok[-1].at_ms)
-    wasted = thrown_away(jobs)
+    wasted = lost_accelerator_seconds(jobs)
     if json:
         output.json({"jobs": len(jobs), "late": _records(late), "thrown_away": _records(wasted)})
         return ExitCode.OK
--- a/packages/agateferry-cli/agateferry_cli/verbs/logs.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/logs.py
@@ -9,10 +9,10 @@
 from agateferry_cli.client import ExitCode, Failure
 
 if TYPE_CHECKING:
-    from agateferry_jobs.history import Line
+    from agateferry_jobs.history import LogLine
 
 
-def read_logs(files: Sequence[Path]) -> Result[list["Line"], Failure]:
+def read_logs(files: Sequence[Path]) -> Result[list["LogLine"], Failure]:
     """Return the lines of several logs, by time."""
     # Imported here because it would slow the start of every other verb.
     from agateferry_jobs.history import read_lines
--- a/packages/agateferry-cli/agateferry_cli/verbs/trace.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/trace.py
@@ -20,12 +20,12 @@
     """
     output = Output(json)
     # Imported here because it would slow the start of every other verb.
-    from agateferry_jobs.history.lines import of_job
+    from agateferry_jobs.history.lines import lines_about_job
 
     found = read_logs(files)
     if found.is_error():
         return output.failure(found.error)
-    lines = list(of_job(found.ok, job_id))
+    lines = list(lines_about_job(found.ok, job_id))
     if not lines:
         advice = "Name the logs of the host that led when the job came, and of the entries."
         return output.failure(Failure(ExitCode.USAGE, f"no line is about {job_id}", advice))
--- a/packages/agateferry-jobs/agateferry_jobs/history/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/history/__init__.py
@@ -1,7 +1,15 @@
-"""What the logs of several processes tell of the jobs of a day."""
+"""Analysis of jobs from the logs of several processes, for `agateferry trace` and `analyze`."""
 
-from agateferry_jobs.history.causes import Cause, split
-from agateferry_jobs.history.jobs import JobHistory, RunHistory, collect
-from agateferry_jobs.history.lines import Line, read_lines
+from agateferry_jobs.history.causes import Cause, split_by_cause
+from agateferry_jobs.history.jobs import JobHistory, RunHistory, collect_jobs
+from agateferry_jobs.history.lines import LogLine, read_lines
 
-__all__ = ["Cause", "JobHistory", "Line", "RunHistory", "collect", "read_lines", "split"]
+__all__ = [
+    "Cause",
+    "JobHistory",
+    "LogLine",
+    "RunHistory",
+    "collect_jobs",
+    "read_lines",
+    "split_by_cause",
+]
--- a/packages/agateferry-jobs/agateferry_jobs/history/jobs.py
+++ b/packages/agateferry-jobs/agateferry_jobs/history/jobs.py
@@ -1,75 +1,82 @@
-"""The jobs of a day and their runs, as the leaders' lines tell of them."""
+"""Jobs and their runs, reconstructed from the log lines of the leaders."""
 
 import re
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from agateferry_jobs.cell import events
-from agateferry_jobs.history.lines import Line
+from agateferry_jobs.history.lines import LogLine
 from agateferry_jobs.ledger.state import step_number
 
-_GPUS = re.compile(r"(\d+)g")
+_GPU_COUNT = re.compile(r"(\d+)g")
 
 
 @dataclass(slots=True)
 class RunHistory:
-    """One run of a subtask; times in ms since the Unix epoch, None where no line tells."""
+    """One run of a subtask; times are in ms since the Unix epoch.
+
+    `ended_ms` is None and `outcome` empty if the logs do not contain the end of the run.
+    """
 
     placed_ms: int
     worker: str
     ended_ms: int | None = None
-    how: str = ""
-    stopped_for: str = ""
-    """Why it was stopped: the reason, and the rank of the job that it gave way to."""
+    outcome: str = ""
+    stop_reason: str = ""
+    """Why the run was stopped; after a preemption, with the rank of the job that preempted it."""
 
 
 @dataclass(slots=True)
 class JobHistory:
-    """One job: when it came, what it needs, its runs by subtask and number, and how it ended."""
+    """One job with its runs by name of the subtask and number of the run.
+
+    `objective_ms` is the time from acceptance to end that the job should take at most. `ended_ms`
+    is None and `state` empty if the logs do not contain the end of the job.
+    """
 
     id: str
     queue: str
     accepted_ms: int
     objective_ms: int
     gpus: tuple[int, ...]
-    """The accelerators of a subtask of each step."""
+    """The number of accelerators of one subtask, for each step."""
     runs: dict[str, dict[int, RunHistory]] = field(default_factory=dict)
     ended_ms: int | None = None
     state: str = ""
 
-    def last_ms(self, until_ms: int) -> int:
-        """Return when the job ended, or `until_ms` where no line tells of an end."""
+    def end_ms(self, until_ms: int) -> int:
+        """Return when the job ended, or `until_ms` if the logs do not contain its end."""
         return self.ended_ms if self.ended_ms is not None else until_ms
 
     def gpus_of(self, subtask: str) -> int:
-        """Return the accelerators of a subtask `K.STEP.INDEX`."""
+        """Return the number of accelerators of a subtask, named `OCCURRENCE.STEP.INDEX`."""
         step = step_number(subtask)
         return self.gpus[step] if step < len(self.gpus) else 0
 
 
-def collect(lines: Iterable[Line]) -> dict[str, JobHistory]:
-    """Return the jobs by id; a job whose first line is missing is left out."""
+def collect_jobs(lines: Iterable[LogLine]) -> dict[str, JobHistory]:
+    """Return the jobs by id; a job is left out if the logs do not contain its acceptance."""
     jobs: dict[str, JobHistory] = {}
     for line in lines:
         if line.number == events.JOB_ACCEPTED.number:
             _accept(jobs, line)
         job = jobs.get(str(line.fields.get("job")))
         if job is not None:
-            _note(job, line)
+            _update_job(job, line)
     return jobs
 
 
-def _accept(jobs: dict[str, JobHistory], line: Line) -> None:
+def _accept(jobs: dict[str, JobHistory], line: LogLine) -> None:
     fields = line.fields
     shapes = [str(shape) for shape in fields.get("steps", ())]
-    gpus = tuple(int(found[1]) if (found := _GPUS.search(shape)) else 0 for shape in shapes)
+    gpus = tuple(int(found[1]) if (found := _GPU_COUNT.search(shape)) else 0 for shape in shapes)
     job = JobHistory(
         fields["job"], fields.get("queue", ""), line.at_ms, fields.get("objective_ms", 0), gpus
     )
     jobs.setdefault(job.id, job)
 
 
-def _note(job: JobHistory, line: Line) -> None:
+def _update_job(job: JobHistory, line: LogLine) -> None:
     fields = line.fields
     if line.number == events.JOB_ENDED.number:
         job.ended_ms, job.state = line.at_ms, str(fields.get("state", ""))
@@ -81,13 +88,13 @@
     elif line.number in (events.RUN_ENDED.number, events.RUN_STOPPING.number):
         found = job.runs.get(fields["subtask"], {}).get(fields["run"])
         if found is not None:
-            _note_run(found, line)
+            _update_run(found, line)
 
 
-def _note_run(run: RunHistory, line: Line) -> None:
+def _update_run(run: RunHistory, line: LogLine) -> None:
     fields = line.fields
     if line.number == events.RUN_ENDED.number:
-        run.ended_ms, run.how = line.at_ms, str(fields.get("how", ""))
+        run.ended_ms, run.outcome = line.at_ms, str(fields.get("how", ""))
     else:
         rank = fields.get("for_rank")
-        run.stopped_for = f"{fields.get('reason', '')}{'' if rank is None else f' for rank {rank}'}"
+        run.stop_reason = f"{fields.get('reason', '')}{'' if rank is None else f' for rank {rank}'}"
--- a/packages/agateferry-jobs/agateferry_jobs/history/lines.py
+++ b/packages/agateferry-jobs/agateferry_jobs/history/lines.py
@@ -1,4 +1,4 @@
-"""Log lines of several processes, put into one order."""
+"""Log lines of several processes, merged in order of time."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -10,11 +10,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """One line that a process wrote.
+class LogLine:
+    """One log line that a process wrote.
 
-    `at_ms` is the time of day in ms since the Unix epoch; `source` is what stood before the JSON,
-    such as the host's name that a collector puts there.
+    `at_ms` is the time of the event in ms since the Unix epoch; `source` is the text before the
+    JSON object, such as the host's name that a log collector puts there.
     """
 
     at_ms: int
@@ -22,18 +22,18 @@
     number: int
     fields: dict[str, Any]
 
-    def names(self, id: str) -> bool:
-        """Tell whether this line is about a job."""
+    def is_about(self, id: str) -> bool:
+        """Return whether this line is about the job, or about a run that was stopped for it."""
         return id in (self.fields.get("job"), self.fields.get("id"), self.fields.get("for_job"))
 
 
-def read_lines(texts: Iterable[str]) -> list[Line]:
-    """Return the lines that are log lines, by time; other text is passed over."""
-    lines = [line for text in texts if (line := _line(text)) is not None]
+def read_lines(texts: Iterable[str]) -> list[LogLine]:
+    """Return the log lines in order of time; text that is not a log line is skipped."""
+    lines = [line for text in texts if (line := _parse_line(text)) is not None]
     return sorted(lines, key=lambda line: line.at_ms)
 
 
-def _line(text: str) -> Line | None:
+def _parse_line(text: str) -> LogLine | None:
     source, brace, rest = text.partition("{")
     if not brace:
         return None
@@ -41,14 +41,14 @@
         fields = json.loads(brace + rest)
     except json.JSONDecodeError:
         return None
-    at_ms = _at_ms(fields.get("timestamp"))
+    at_ms = _parse_timestamp_ms(fields.get("timestamp"))
     number = fields.get("number")
     if at_ms is None or not isinstance(number, int):
         return None
-    return Line(at_ms, source.strip(), number, fields)
+    return LogLine(at_ms, source.strip(), number, fields)
 
 
-def _at_ms(timestamp: Any) -> int | None:
+def _parse_timestamp_ms(timestamp: Any) -> int | None:
     if not isinstance(timestamp, str):
         return None
     try:
@@ -57,6 +57,6 @@
         return None
 
 
-def of_job(lines: Iterable[Line], id: str) -> Iterator[Line]:
+def lines_about_job(lines: Iterable[LogLine], id: str) -> Iterator[LogLine]:
     """Return the lines about one job."""
-    return (line for line in lines if line.names(id))
+    return (line for line in lines if line.is_about(id))
--- a/packages/agateferry-jobs/agateferry_jobs/history/tests/test_history.py
+++ b/packages/agateferry-jobs/agateferry_jobs/history/tests/test_history.py
@@ -4,9 +4,9 @@
 import testtools
 
 from agateferry_jobs.cell import events
-from agateferry_jobs.history import Cause, collect, read_lines, split
-from agateferry_jobs.history.causes import late_seconds, thrown_away
-from agateferry_jobs.history.lines import of_job
+from agateferry_jobs.history import Cause, collect_jobs, read_lines, split_by_cause
+from agateferry_jobs.history.causes import late_seconds, lost_accelerator_seconds
+from agateferry_jobs.history.lines import lines_about_job
 
 
 def text(at_ms, event, source="core-1", **fields):
@@ -35,21 +35,21 @@
 
 
 class LineTests(testtools.TestCase):
-    def test_lines_of_several_processes_are_put_in_order_and_other_text_is_passed_over(self):
+    def test_lines_of_several_processes_are_sorted_by_time_and_other_text_is_skipped(self):
         texts = [ONCE_STOPPED[1], "Traceback", "{no json", '{"number": 1}', ACCEPTED]
         lines = read_lines(texts)
         self.assertEqual([0, 1000], [line.at_ms for line in lines])
         self.assertEqual("core-1", lines[0].source)
 
-    def test_a_job_is_named_by_its_own_lines_and_by_those_that_made_room_for_it(self):
+    def test_a_job_has_its_own_lines_and_those_of_runs_that_it_preempted(self):
         lines = read_lines([*ONCE_STOPPED, text(5, events.JOB_ACCEPTED, job="other")])
-        self.assertEqual(7, len(list(of_job(lines, "j"))))
-        self.assertEqual(1, len(list(of_job(lines, "u"))))
+        self.assertEqual(7, len(list(lines_about_job(lines, "j"))))
+        self.assertEqual(1, len(list(lines_about_job(lines, "u"))))
 
 
 class CauseTests(testtools.TestCase):
     def jobs(self, texts):
-        return collect(read_lines(texts))
+        return collect_jobs(read_lines(texts))
 
     def test_the_time_of_a_job_is_split_by_cause(self):
         job = self.jobs(ONCE_STOPPED)["j"]
@@ -59,26 +59,28 @@
             Cause("waited to start again", 2000),
             Cause("worked", 2000),
         ]
-        self.assertEqual(expected, split(job, 9000))
+        self.assertEqual(expected, split_by_cause(job, 9000))
 
-    def test_the_subtask_that_ends_last_counts(self):
+    def test_causes_are_those_of_the_subtask_that_ends_last(self):
         texts = [
             ACCEPTED,
             run(0, events.RUN_STARTED, subtask="0.0.0"),
             run(500, events.RUN_ENDED, subtask="0.0.0", how="done"),
             run(200, events.RUN_STARTED, subtask="0.0.1"),
         ]
-        causes = split(self.jobs(texts)["j"], 9000)
+        causes = split_by_cause(self.jobs(texts)["j"], 9000)
         self.assertEqual([Cause("waited to start", 200), Cause("no end was seen", 8800)], causes)
 
-    def test_a_job_that_never_started_is_told(self):
-        self.assertEqual([Cause("never started", 9000)], split(self.jobs([ACCEPTED])["j"], 9000))
+    def test_a_job_that_never_started_has_one_cause(self):
+        self.assertEqual(
+            [Cause("never started", 9000)], split_by_cause(self.jobs([ACCEPTED])["j"], 9000)
+        )
 
-    def test_only_late_jobs_count_in_the_table(self):
+    def test_only_late_jobs_count_as_late_seconds(self):
         jobs = self.jobs(ONCE_STOPPED).values()
         self.assertEqual(2, late_seconds(jobs, 9000)[("q", "worked")])
         self.assertEqual({}, late_seconds(self.jobs([ACCEPTED]).values(), 3000))
 
-    def test_lost_runs_count_by_their_accelerators(self):
-        wasted = thrown_away(self.jobs(ONCE_STOPPED).values())
+    def test_lost_runs_count_in_proportion_to_their_accelerators(self):
+        wasted = lost_accelerator_seconds(self.jobs(ONCE_STOPPED).values())
         self.assertEqual({("q", "lost: stopped, room for rank 1"): 8}, wasted)
