--- a/packages/agateferry-jobs/agateferry_jobs/entry/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Entries: they carry callers' calls to the leader and keep nothing."""
+"""Entries, which forward callers' calls to the leader and store nothing."""
