--- a/packages/agateferry-jobs/agateferry_jobs/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of steps whose subtasks run on workers under leases."""
+"""Scheduling of jobs: their steps consist of subtasks, which run on workers under leases."""
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of the two roles, in the order in which they start and stop."""
+"""The host of a cell, and the log events of both roles."""
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/cell.py
@@ -1,4 +1,4 @@
-"""A host of the cell: its share of the replicated log, and the leader's work when it leads."""
+"""A host of the cell: its replica of the log, and the leader's work while it leads."""
 
 import asyncio
 import random
@@ -22,8 +22,8 @@
 from agateferry_state.replica.transport import GrpcTransport
 from agateferry_state.replication import Settings
 
-GROUP = "cell"
-TIMES = Settings(
+REPLICATION_GROUP = "cell"
+REPLICATION_SETTINGS = Settings(
     heartbeat_ms=200,
     election_timeout_min_ms=600,
     election_timeout_max_ms=1100,
@@ -32,19 +32,26 @@
     lease_ms=520,
     replaces_hosts=True,
 )
-"""Zones are 0.5 ms apart and a slow disk holds the loop for 0.2 s: three heartbeats do."""
-LEASE_MS = 8_000
-"""How long a worker runs on unseen: longer than a cut of 6 s, so that its work outlives one."""
-DISCOVERY_TRY_MS = 1_000
-"""How long a host that joins a running cell asks one round of its seeds for the others."""
-REVIVE_MS = 1_000
-"""How often a host whose disk refused a write tries to take part again."""
+"""The election timeout is three heartbeats or more.
+
+That suffices for the delay of 0.5 ms between zones and for a slow disk that blocks the event loop
+for 0.2 s.
+"""
+WORKER_LEASE_MS = 8_000
+"""How long a worker keeps its runs without contact.
+
+It is longer than a network partition of 6 s, so that runs survive one.
+"""
+DISCOVERY_TIMEOUT_MS = 1_000
+"""How long a host that joins a running cell tries its seeds to learn the current hosts."""
+RECOVERY_INTERVAL_MS = 1_000
+"""How often a host checks for a storage failure, and restarts its replica after one."""
 RPC_GRACE_S = 1.0
-"""How long calls in flight may take once the host has handed its leadership on."""
+"""How long calls in flight may take after the host has transferred its leadership."""
 
 
 class CellHost:
-    """Start and stop the parts of a host of the cell."""
+    """The replica, leader, gRPC server and client of one host of the cell."""
 
     def __init__(self, cfg: HostSettings, clock: Clock, make_port: PortFactory) -> None:
         self.cfg = cfg
@@ -59,11 +66,13 @@
         self._server: grpc.aio.Server | None = None
         self._replica: NodeReplica | None = None
         self._leader: Leader | None = None
-        self._reviver: asyncio.Task[None] | None = None
+        self._recovery_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Join the cell, or form it where this is the first start of all."""
-        replica = self._join(await self._find_hosts(), self.cfg.may_bootstrap)
+        """Join the cell, or form it if its settings allow that and it does not exist yet."""
+        replica = self._create_replica_and_leader(
+            await self._discover_hosts(), self.cfg.may_bootstrap
+        )
         server = grpc.aio.server(options=server_options())
         self._transport.add_to(server)
         rpc.add_LeaderServicer_to_server(LeaderServicer(self.answer), server)
@@ -72,12 +81,12 @@
         await server.start()
         self._transport.open_datagrams(self.cfg.internal_address)
         await replica.start()
-        self._reviver = asyncio.create_task(self._revive_for_ever())
+        self._recovery_task = asyncio.create_task(self._recover_from_storage_failures())
 
     async def stop(self) -> None:
-        """Hand leadership on and give up the network and the disk."""
-        if self._reviver is not None:
-            self._reviver.cancel()
+        """Transfer the leadership, then close the network and the disk."""
+        if self._recovery_task is not None:
+            self._recovery_task.cancel()
         if self._replica is not None:
             await self._replica.stop()
         if self._leader is not None:
@@ -88,64 +97,74 @@
         await self.client.close()
 
     async def answer(self, call: messages.Call) -> messages.Answer:
-        """Answer a question of another host."""
+        """Answer a call if this host leads; the answer also names the voters of the cell."""
         if self._leader is None or self._replica is None:
             return messages.Answer(messages.NotLeader())
         reply = await self._leader.handle(call)
         hosts = tuple(member.id.host for member in self._replica.members.voters)
         return messages.Answer(reply, hosts)
 
-    async def call(self, call: messages.Call, within_ms: int) -> messages.Reply:
-        """Answer here where this host leads, else ask the host that does."""
+    async def call(self, call: messages.Call, timeout_ms: int) -> messages.Reply:
+        """Answer a call here if this host leads, else forward it to the leader."""
         answer = await self.answer(call)
         if not isinstance(answer.reply, messages.NotLeader):
             return answer.reply
         self.client.add_hosts(answer.hosts)
-        return await self.client.call(call, within_ms)
+        return await self.client.call(call, timeout_ms)
 
     @property
     def leader_host(self) -> str | None:
-        """Return the host that leads, as far as this one knows."""
+        """Return the name of the leader, or None if this host knows none."""
         return self._replica.leader if self._replica is not None else None
 
-    async def _find_hosts(self) -> tuple[str, ...]:
-        """Return the hosts to greet: the seeds, and for a late comer those that they know."""
+    async def _discover_hosts(self) -> tuple[str, ...]:
+        """Return the hosts to contact: the seeds, and the voters if this host joins a cell."""
         if self.cfg.may_bootstrap:
             return self.cfg.seeds
-        await self.client.call(messages.Ping(), DISCOVERY_TRY_MS)
+        await self.client.call(messages.Ping(), DISCOVERY_TIMEOUT_MS)
         return self.client.hosts
 
-    def _join(self, hosts: tuple[str, ...], may_bootstrap: bool) -> NodeReplica:
-        """Make this host's part of the cell, with an empty ledger that the log fills."""
+    def _create_replica_and_leader(
+        self, hosts: tuple[str, ...], may_bootstrap: bool
+    ) -> NodeReplica:
+        """Create the replica and leader of this host with an empty ledger, which the log fills."""
         self.ledger = Ledger()
         replica = self._make_replica(hosts, may_bootstrap)
         self._replica = replica
-        lease_ms = min(LEASE_MS, self.cfg.bounds.max_lease_ms)
+        lease_ms = min(WORKER_LEASE_MS, self.cfg.bounds.max_lease_ms)
         self._leader = Leader(replica, self.ledger, self._clock, self._make_port, lease_ms)
         return replica
 
-    async def _revive_for_ever(self) -> None:
-        """Take part again after the disk refused a write, as if this process had started anew."""
+    async def _recover_from_storage_failures(self) -> None:
+        """Restart the replica after a storage failure, as a restart of the process would.
+
+        A replica that failed to write takes no further part in the cell.
+        """
         while True:
-            await asyncio.sleep(REVIVE_MS / MS_PER_S)
+            await asyncio.sleep(RECOVERY_INTERVAL_MS / MS_PER_S)
             failure = self._replica.failure if self._replica is not None else None
             if failure is not None and failure.kind is ProposeErrorKind.STORAGE_FAILED:
-                self._log.warning(events.REVIVING, detail=failure.detail)
-                await self._revive()
+                self._log.warning(events.REPLICA_RESTARTING, detail=failure.detail)
+                await self._restart_replica()
 
-    async def _revive(self) -> None:
+    async def _restart_replica(self) -> None:
         if self._leader is not None:
             await self._leader.close()
         if self._replica is not None:
             await self._replica.stop()
-        replica = self._join(self.cfg.seeds, may_bootstrap=False)
+        replica = self._create_replica_and_leader(self.cfg.seeds, may_bootstrap=False)
         await replica.start()
 
     def _make_replica(self, hosts: tuple[str, ...], may_bootstrap: bool) -> NodeReplica:
         port = self.cfg.internal_port
         peers = tuple(Peer(host, f"{host}:{port}") for host in hosts)
-        settings = replace(TIMES, may_bootstrap=may_bootstrap)
+        settings = replace(REPLICATION_SETTINGS, may_bootstrap=may_bootstrap)
         cfg = NodeConfig(
-            GROUP, self.cfg.ip, peers, self.cfg.folder, settings, self.cfg.internal_address
+            REPLICATION_GROUP,
+            self.cfg.ip,
+            peers,
+            self.cfg.data_folder,
+            settings,
+            self.cfg.internal_address,
         )
         return NodeReplica(cfg, self.ledger, self._transport, self._clock, self._rng)
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
@@ -18,17 +18,17 @@
 from agateferry_state.journal import JournalError, JournalErrorKind
 
 IPS = ("127.0.0.1", "127.0.0.2", "127.0.0.3")
-LATE_IP = "127.0.0.4"
+REPLACEMENT_IP = "127.0.0.4"
 JOB = JobSpec("payload", (StepSpec(1, SUBTASK_RESOURCES),))
-ASK_MS = 10_000
-SEEDS = 6
+CALL_TIMEOUT_MS = 10_000
+KILLS = 6
 
 
 def submit(id):
     return messages.Submit(messages.CallTarget("host", f"/jobs/{id}", "key"), JOB)
 
 
-def look(id):
+def get_status(id):
     return messages.GetStatus(messages.CallTarget("host", f"/jobs/{id}", "key"))
 
 
@@ -49,7 +49,7 @@
             internal_port=self.port,
             seeds=IPS,
             may_bootstrap=may_bootstrap,
-            folder=self.folder / ip,
+            data_folder=self.folder / ip,
             front=None,
             readiness=None,
             control=None,
@@ -60,7 +60,7 @@
         )
 
     async def kill(self, host):
-        """End a host as a killed process ends: nothing is synced, told or handed on."""
+        """End a host as a kill does: it syncs and sends nothing and keeps its leadership."""
         driver = host._replica._driver
         driver._is_closed = True
         driver._storage.close()
@@ -71,7 +71,7 @@
         await host._server.stop(None)
         await host.client.close()
 
-    def check(self, scenario):
+    def run_scenario(self, scenario):
         async def main():
             async with AsyncExitStack() as stack:
                 self.client = LeaderClient(self.clock, self.port)
@@ -81,9 +81,9 @@
                 await asyncio.gather(*(host.start() for host in self.hosts.values()))
                 self.assertEqual(
                     messages.Done(),
-                    await self.client.call(messages.InstallManifest(manifest()), ASK_MS),
+                    await self.client.call(messages.InstallManifest(manifest()), CALL_TIMEOUT_MS),
                 )
-                await self.until(lambda: self.all_vote(set(IPS)), "all three vote")
+                await self.wait_until(lambda: self.all_vote(set(IPS)), "all three vote")
                 try:
                     await scenario()
                 finally:
@@ -92,15 +92,15 @@
         run_async(main(), timeout_s=120)
 
     def all_vote(self, ips):
-        """Tell whether every host knows just these as voters."""
-        known = [{v.id.host for v in h._replica.members.voters} for h in self.hosts.values()]
-        return all(voters == ips for voters in known)
+        """Return whether every host knows exactly these voters."""
+        voter_sets = [{v.id.host for v in h._replica.members.voters} for h in self.hosts.values()]
+        return all(voters == ips for voters in voter_sets)
 
     async def restart(self, ip):
         self.hosts[ip] = self.make(ip, may_bootstrap=False)
         await self.hosts[ip].start()
 
-    async def until(self, condition, what):
+    async def wait_until(self, condition, what):
         for _ in range(1500):
             if condition():
                 return
@@ -109,65 +109,71 @@
 
 
 class KillTests(CellCase):
-    def test_callers_are_served_again_soon_after_the_leader_is_killed(self):
+    def test_calls_succeed_again_after_the_leader_is_killed(self):
         async def scenario():
-            self.assertEqual(messages.Done(), await self.client.call(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.call(submit("a"), CALL_TIMEOUT_MS))
             leader = self.hosts["127.0.0.1"].leader_host
             await self.kill(self.hosts.pop(leader))
-            reply = await self.client.call(look("a"), ASK_MS)
+            reply = await self.client.call(get_status("a"), CALL_TIMEOUT_MS)
             self.assertEqual(messages.JobStatus(JobState.QUEUED), reply)
 
-        self.check(scenario)
+        self.run_scenario(scenario)
 
-    def test_what_was_accepted_outlives_a_kill_of_all_at_any_step(self):
+    def test_accepted_jobs_survive_a_kill_of_all_hosts_at_any_moment(self):
         async def scenario():
             rng = random.Random(7)
             accepted = []
-            for seed in range(SEEDS):
-                asked = asyncio.create_task(self.client.call(submit(f"job-{seed}"), 300))
+            for number in range(KILLS):
+                submission = asyncio.create_task(self.client.call(submit(f"job-{number}"), 300))
                 await asyncio.sleep(rng.random() * 0.03)
                 await asyncio.gather(*(self.kill(host) for host in self.hosts.values()))
-                if isinstance(await asked, messages.Done):
-                    accepted.append(f"job-{seed}")
+                if isinstance(await submission, messages.Done):
+                    accepted.append(f"job-{number}")
                 await asyncio.gather(*(self.restart(ip) for ip in IPS))
                 for id in accepted:
-                    reply = await self.client.call(look(id), ASK_MS)
+                    reply = await self.client.call(get_status(id), CALL_TIMEOUT_MS)
                     self.assertEqual(messages.JobStatus(JobState.QUEUED), reply, id)
 
-        self.check(scenario)
+        self.run_scenario(scenario)
 
 
 class FullDiskTests(CellCase):
-    def fill(self, host):
-        """Have the disk of a host refuse what comes next."""
+    def fail_disk(self, host):
+        """Fail the replica of a host as a full disk does."""
         host._replica._driver._fail(JournalError(JournalErrorKind.DISK_FULL, "injected"))
 
-    def test_hosts_take_part_again_once_their_disks_have_room(self):
-        """Seen on a day with two full disks: both hosts took no part for the rest of the day, the
-        cell had no majority, and jobs were lost."""
+    def test_replicas_recover_after_a_full_disk(self):
+        """Without recovery, two full disks took two hosts out of the cell for good.
+
+        The cell then had no majority, and jobs were lost.
+        """
 
         async def scenario():
-            self.assertEqual(messages.Done(), await self.client.call(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.call(submit("a"), CALL_TIMEOUT_MS))
             for ip in IPS[:2]:
-                self.fill(self.hosts[ip])
-            self.assertEqual(messages.Done(), await self.client.call(submit("b"), ASK_MS))
+                self.fail_disk(self.hosts[ip])
+            self.assertEqual(messages.Done(), await self.client.call(submit("b"), CALL_TIMEOUT_MS))
             for host in self.hosts.values():
-                await self.until(lambda host=host: {"a", "b"} <= {*host.ledger.jobs}, "both jobs")
+                await self.wait_until(
+                    lambda host=host: {"a", "b"} <= {*host.ledger.jobs}, "both jobs"
+                )
                 self.assertIsNone(host._replica.failure)
 
-        self.check(scenario)
+        self.run_scenario(scenario)
 
 
 class ReplaceTests(CellCase):
-    def test_an_empty_host_at_a_new_address_takes_the_place_of_one_that_is_gone(self):
+    def test_an_empty_host_at_a_new_address_replaces_a_lost_host(self):
         async def scenario():
-            self.assertEqual(messages.Done(), await self.client.call(submit("a"), ASK_MS))
+            self.assertEqual(messages.Done(), await self.client.call(submit("a"), CALL_TIMEOUT_MS))
             leader = self.hosts["127.0.0.1"].leader_host
-            gone = next(ip for ip in IPS if ip != leader)
-            await self.kill(self.hosts.pop(gone))
-            await self.restart(LATE_IP)
-            late = self.hosts[LATE_IP]
-            await self.until(lambda: self.all_vote({*self.hosts}), "it votes")
-            await self.until(lambda: "a" in late.ledger.jobs, "it holds the job")
-
-        self.check(scenario)
+            lost = next(ip for ip in IPS if ip != leader)
+            await self.kill(self.hosts.pop(lost))
+            await self.restart(REPLACEMENT_IP)
+            replacement = self.hosts[REPLACEMENT_IP]
+            await self.wait_until(lambda: self.all_vote({*self.hosts}), "the replacement votes")
+            await self.wait_until(
+                lambda: "a" in replacement.ledger.jobs, "the replacement has the job"
+            )
+
+        self.run_scenario(scenario)
--- a/packages/agateferry-jobs/agateferry_jobs/rpc/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""Generated code for the calls between hosts; see `make generate`."""
+"""Generated gRPC code for the calls to the leader; `make generate` writes it from leader.proto."""
--- a/packages/agateferry-jobs/agateferry_jobs/settings.py
+++ b/packages/agateferry-jobs/agateferry_jobs/settings.py
@@ -1,4 +1,4 @@
-"""What one process needs to know to run; the platform's own format is read at the border."""
+"""The settings of one process, which `agateferry_platform` reads from the platform's file."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -6,7 +6,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeLimits:
-    """Times in ms: from a stop's signal to the kill, and the longest lease of a worker."""
+    """Time limits of the platform.
+
+    `grace_ms` is the time from the signal to stop to the kill, `max_lease_ms` the longest lease of
+    a worker.
+    """
 
     grace_ms: int = 6000
     max_lease_ms: int = 10_000
@@ -14,11 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """One process of the system: who it is, where it listens and whom it knows.
+    """The names, listening addresses and time limits of one process.
 
-    Hosts are named by their IP. `seeds` are hosts of the cell as they were known when the settings
-    were written. `folder` is None on a host without a disk. Addresses are `ip:port`; those that
-    this role does not serve are None.
+    Hosts are identified by their IP. `seeds` are the hosts of the cell that were known when the
+    settings were written. With `may_bootstrap` the host may form a new cell. `data_folder` is None
+    on a host without a disk. `front`, `readiness` and `control` are `ip:port` addresses, None if
+    this role does not serve them.
     """
 
     node: str
@@ -27,7 +32,7 @@
     internal_port: int
     seeds: tuple[str, ...]
     may_bootstrap: bool
-    folder: Path | None
+    data_folder: Path | None
     front: str | None
     readiness: str | None
     control: str | None
@@ -36,5 +41,5 @@
 
     @property
     def internal_address(self) -> str:
-        """Return where other hosts reach this one."""
+        """Return the address for calls between hosts, as `ip:port`."""
         return f"{self.ip}:{self.internal_port}"
