--- a/packages/agateferry-scheduling/agateferry_scheduling/estimates/tests/test_estimates.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/estimates/tests/test_estimates.py
@@ -1,7 +1,7 @@
 import testtools
 
 from agateferry_scheduling.estimates import Estimates
-from agateferry_scheduling.scheduler.tests.zones import request
+from agateferry_scheduling.scheduler.tests.support import request
 
 
 class EstimatesTests(testtools.TestCase):
--- a/packages/agateferry-scheduling/agateferry_scheduling/health/tests/test_health.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/health/tests/test_health.py
@@ -2,7 +2,7 @@
 
 from agateferry_scheduling.health import Health
 from agateferry_scheduling.scheduler.messages import SchedulingConfig
-from agateferry_scheduling.scheduler.tests.zones import request
+from agateferry_scheduling.scheduler.tests.support import request
 
 
 class HealthTests(testtools.TestCase):
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_choice.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_choice.py
@@ -3,7 +3,7 @@
 from agateferry_core.demand import Adjacency, Demand
 from agateferry_scheduling.placement.choice import Candidate, choose
 from agateferry_scheduling.placement.stranding import stranded_by
-from agateferry_scheduling.scheduler.tests.zones import worker
+from agateferry_scheduling.scheduler.tests.support import worker
 from agateferry_scheduling.topology import Topology
 
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_compaction.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/tests/test_compaction.py
@@ -9,7 +9,7 @@
     Start,
     Tick,
 )
-from agateferry_scheduling.scheduler.tests.zones import of_type, queue, request, scheduler
+from agateferry_scheduling.scheduler.tests.support import make_scheduler, of_type, queue, request
 
 HOUR_MS = 3_600_000
 
@@ -17,7 +17,7 @@
 class MovingTests(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.zone = scheduler(racks=1, per_rack=3)
+        self.zone = make_scheduler(racks=1, per_rack=3)
         for name in ("x1", "y1", "x2", "y2"):
             queue(self.zone, request(name, accelerators=4, checkpointable=True, run_ms=HOUR_MS))
         for name in ("x1", "x2"):
@@ -53,7 +53,7 @@
         self.assertEqual(20, self.zone.zone.topology.free_accelerators)
 
     def test_what_cannot_checkpoint_stays(self):
-        zone = scheduler(racks=1, per_rack=3)
+        zone = make_scheduler(racks=1, per_rack=3)
         for name in ("x1", "y1", "x2", "y2"):
             queue(zone, request(name, accelerators=4))
         for name in ("x1", "x2"):
--- a/packages/agateferry-scheduling/agateferry_scheduling/preemption/tests/test_victims.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/preemption/tests/test_victims.py
@@ -3,7 +3,7 @@
 from agateferry_core.demand import Demand, Urgency
 from agateferry_scheduling.preemption.victims import plan_for
 from agateferry_scheduling.scheduler.messages import SchedulingConfig
-from agateferry_scheduling.scheduler.tests.zones import queue, request, scheduler
+from agateferry_scheduling.scheduler.tests.support import make_scheduler, queue, request
 
 NOW_MS = 1_000_000
 
@@ -12,7 +12,7 @@
     def setUp(self):
         super().setUp()
         config = SchedulingConfig(urgent_headroom_slots=0)
-        self.zone = scheduler(per_rack=1, config=config)
+        self.zone = make_scheduler(per_rack=1, config=config)
 
     def fill(self, *pendings):
         for pending in pendings:
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_queue.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_queue.py
@@ -3,7 +3,7 @@
 from agateferry_core.demand import Demand, Urgency
 from agateferry_scheduling.queueing import Queue, is_large
 from agateferry_scheduling.queueing.fairness import Shares
-from agateferry_scheduling.scheduler.tests.zones import request
+from agateferry_scheduling.scheduler.tests.support import request
 
 
 class QueueTests(testtools.TestCase):
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_reservation.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/tests/test_reservation.py
@@ -3,13 +3,13 @@
 from agateferry_core.demand import Adjacency
 from agateferry_scheduling.estimates import Estimates
 from agateferry_scheduling.queueing.reservation import reserve
-from agateferry_scheduling.scheduler.tests.zones import queue, request, scheduler
+from agateferry_scheduling.scheduler.tests.support import make_scheduler, queue, request
 
 
 class ReservationTests(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.zone = scheduler(racks=2)
+        self.zone = make_scheduler(racks=2)
         for number, run_ms in enumerate((9_000, 8_000, 4_000, 3_000)):
             queue(self.zone, request(f"a{number}", accelerators=8, run_ms=run_ms))
         self.gang = request("g", members=2, accelerators=8, adjacency=Adjacency.RACK)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/zones.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/support.py
@@ -27,16 +27,16 @@
 TWO_TEAMS = (Team("a"), Team("b"))
 
 
-def scheduler(racks=1, per_rack=2, teams=TWO_TEAMS, config=None):
-    zone = FairScheduler("z", config)
-    zone.step(TeamsChanged(tuple(teams)), 0)
+def make_scheduler(racks=1, per_rack=2, teams=TWO_TEAMS, config=None):
+    scheduler = FairScheduler("z", config)
+    scheduler.step(TeamsChanged(tuple(teams)), 0)
     for number in range(racks * per_rack):
-        zone.step(WorkerJoined(worker(f"w{number}", f"r{number // per_rack}")), 0)
-    return zone
+        scheduler.step(WorkerJoined(worker(f"w{number}", f"r{number // per_rack}")), 0)
+    return scheduler
 
 
-def queue(zone, pending, now_ms=0):
-    return zone.step(RequestQueued(pending), now_ms)
+def queue(scheduler, pending, now_ms=0):
+    return scheduler.step(RequestQueued(pending), now_ms)
 
 
 def started(decisions):
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
@@ -18,11 +18,11 @@
     WorkerLeaving,
     WorkerLost,
 )
-from agateferry_scheduling.scheduler.tests.zones import (
+from agateferry_scheduling.scheduler.tests.support import (
+    make_scheduler,
     of_type,
     queue,
     request,
-    scheduler,
     started,
     team,
     worker,
@@ -33,12 +33,12 @@
     def setUp(self):
         super().setUp()
         config = SchedulingConfig(urgent_headroom_slots=0)
-        self.zone = scheduler(teams=(team("a"), team("b", (8,))), config=config)
+        self.scheduler = make_scheduler(teams=(team("a"), team("b", (8,))), config=config)
         for number in range(16):
-            queue(self.zone, request(f"a{number}", accelerators=1, checkpointable=True))
+            queue(self.scheduler, request(f"a{number}", accelerators=1, checkpointable=True))
 
     def reclaim(self, now_ms=10_000):
-        return queue(self.zone, request("b0", "b", accelerators=8, at_ms=now_ms), now_ms)
+        return queue(self.scheduler, request("b0", "b", accelerators=8, at_ms=now_ms), now_ms)
 
     def test_a_team_takes_back_its_shape_within_the_bound(self):
         preempts = of_type(self.reclaim(), Preempt)
@@ -46,75 +46,77 @@
         self.assertTrue(all(p.by_ms <= 10_000 + 30_000 for p in preempts))
         for preempt in preempts[:-1]:
             ended = RequestEnded(preempt.request_id, EndReason.PREEMPTED, 10_000)
-            self.assertEqual([], started(self.zone.step(ended, 12_000)))
+            self.assertEqual([], started(self.scheduler.step(ended, 12_000)))
         last = RequestEnded(preempts[-1].request_id, EndReason.PREEMPTED, 10_000)
-        self.assertEqual(["b0"], started(self.zone.step(last, 12_000)))
+        self.assertEqual(["b0"], started(self.scheduler.step(last, 12_000)))
 
     def test_nobody_else_takes_what_was_freed_for_a_claim(self):
         preempts = of_type(self.reclaim(), Preempt)
         ended = RequestEnded(preempts[0].request_id, EndReason.PREEMPTED, 10_000)
-        self.zone.step(ended, 11_000)
-        self.assertEqual([], started(queue(self.zone, request("a99", accelerators=1), 11_000)))
+        self.scheduler.step(ended, 11_000)
+        self.assertEqual([], started(queue(self.scheduler, request("a99", accelerators=1), 11_000)))
 
     def test_a_cancelled_claim_gives_the_workers_back(self):
         preempts = of_type(self.reclaim(), Preempt)
-        self.zone.step(RequestWithdrawn("b0"), 11_000)
+        self.scheduler.step(RequestWithdrawn("b0"), 11_000)
         ended = RequestEnded(preempts[0].request_id, EndReason.PREEMPTED, 10_000)
-        self.zone.step(ended, 11_000)
-        self.assertEqual(["a99"], started(queue(self.zone, request("a99", accelerators=1), 11_000)))
+        self.scheduler.step(ended, 11_000)
+        self.assertEqual(
+            ["a99"], started(queue(self.scheduler, request("a99", accelerators=1), 11_000))
+        )
 
     def test_work_that_cannot_be_taken_back_stays_outside_guarantees(self):
-        zone = scheduler(teams=(team("a"), team("b", (8,))))
+        scheduler = make_scheduler(teams=(team("a"), team("b", (8,))))
         ids = [
             name
             for number in range(16)
             for name in started(
-                queue(zone, request(f"a{number}", accelerators=1, preemptible=False))
+                queue(scheduler, request(f"a{number}", accelerators=1, preemptible=False))
             )
         ]
         self.assertEqual(8, len(ids))
-        self.assertEqual(["b0"], started(queue(zone, request("b0", "b", accelerators=8))))
+        self.assertEqual(["b0"], started(queue(scheduler, request("b0", "b", accelerators=8))))
 
     def test_a_lost_worker_under_a_claim_puts_the_request_back(self):
         preempts = of_type(self.reclaim(), Preempt)
-        [name] = self.zone.zone.claims.open["b0"].allocation.counts
-        decisions = self.zone.step(WorkerLost(name), 11_000)
+        [name] = self.scheduler.zone.claims.open["b0"].allocation.counts
+        decisions = self.scheduler.step(WorkerLost(name), 11_000)
         for preempt in preempts:
             ended = RequestEnded(preempt.request_id, EndReason.WORKER_LOST, 1_000)
-            decisions += self.zone.step(ended, 11_000)
+            decisions += self.scheduler.step(ended, 11_000)
         self.assertEqual(8, len({p.request_id for p in of_type(decisions, Preempt)}))
 
 
 class CoverTests(testtools.TestCase):
     def test_a_gang_that_its_cells_cannot_cover_leaves_them_in_place(self):
-        zone = scheduler(per_rack=3, teams=(team("a", (8,)), team("b", (8,))))
-        before = [dict(places) for places in zone.zone.layout.places()]
+        scheduler = make_scheduler(per_rack=3, teams=(team("a", (8,)), team("b", (8,))))
+        before = [dict(places) for places in scheduler.zone.layout.places()]
         gang = request("x", members=2, accelerators=4, preemptible=False)
         pinned = request("y", members=2, accelerators=8, preemptible=False)
-        self.assertEqual([], started(queue(zone, pinned)))
-        self.assertEqual(before, zone.zone.layout.places())
-        self.assertEqual(["x"], started(queue(zone, gang)))
+        self.assertEqual([], started(queue(scheduler, pinned)))
+        self.assertEqual(before, scheduler.zone.layout.places())
+        self.assertEqual(["x"], started(queue(scheduler, gang)))
 
 
 class UrgentTests(testtools.TestCase):
     def test_an_urgent_request_takes_cheap_borrowed_work_back(self):
-        zone = scheduler(config=SchedulingConfig(urgent_headroom_slots=0))
+        scheduler = make_scheduler(config=SchedulingConfig(urgent_headroom_slots=0))
         for number in range(16):
             pending = request(f"a{number}", accelerators=1, checkpointable=number == 3)
-            queue(zone, pending, number)
+            queue(scheduler, pending, number)
         now_ms = 500_000
         urgent = request("u", "b", Urgency.URGENT, now_ms, accelerators=1)
-        [preempt] = of_type(queue(zone, urgent, now_ms), Preempt)
+        [preempt] = of_type(queue(scheduler, urgent, now_ms), Preempt)
         self.assertEqual("a3", preempt.request_id)
         self.assertTrue(preempt.by_ms <= now_ms + 3_600)
         ended = RequestEnded("a3", EndReason.PREEMPTED, 1)
-        self.assertEqual(["u"], started(zone.step(ended, now_ms + 2_000)))
+        self.assertEqual(["u"], started(scheduler.step(ended, now_ms + 2_000)))
 
     def test_headroom_is_kept_for_urgent_work(self):
-        zone = scheduler(config=SchedulingConfig(urgent_headroom_slots=2))
-        ids = [started(queue(zone, request(f"a{n}"))) for n in range(16)]
+        scheduler = make_scheduler(config=SchedulingConfig(urgent_headroom_slots=2))
+        ids = [started(queue(scheduler, request(f"a{n}"))) for n in range(16)]
         self.assertEqual(14, sum(map(len, ids)))
-        self.assertEqual(["u"], started(queue(zone, request("u", "b", Urgency.URGENT))))
+        self.assertEqual(["u"], started(queue(scheduler, request("u", "b", Urgency.URGENT))))
 
 
 class CancellationWaveTests(testtools.TestCase):
@@ -123,17 +125,19 @@
     WAVE = 10_000
     PER_MS = 100
 
-    def wave(self, zone, urgent_at_ms, urgent):
+    def wave(self, scheduler, urgent_at_ms, urgent):
         """Cancel the wave around an urgent request and give the time at which that one started."""
         preempted = {}
         for ms in range(self.WAVE // self.PER_MS + 3_601):
-            decisions = queue(zone, urgent, ms) if ms == urgent_at_ms else zone.step(Tick(), ms)
+            decisions = (
+                queue(scheduler, urgent, ms) if ms == urgent_at_ms else scheduler.step(Tick(), ms)
+            )
             for number in range(ms * self.PER_MS, min((ms + 1) * self.PER_MS, self.WAVE)):
-                decisions += zone.step(RequestWithdrawn(f"a{number}"), ms)
+                decisions += scheduler.step(RequestWithdrawn(f"a{number}"), ms)
             preempted |= {p.request_id: p.by_ms for p in of_type(decisions, Preempt)}
             for name in [name for name, by_ms in preempted.items() if by_ms <= ms]:
                 del preempted[name]
-                decisions += zone.step(RequestEnded(name, EndReason.PREEMPTED, ms), ms)
+                decisions += scheduler.step(RequestEnded(name, EndReason.PREEMPTED, ms), ms)
             if urgent.request_id in started(decisions):
                 return ms
         return None
@@ -142,168 +146,168 @@
         for at_ms in (0, 50, 99):
             config = SchedulingConfig(urgent_headroom_slots=0)
             teams = (team("a", max_queued=self.WAVE), team("b"))
-            zone = scheduler(teams=teams, config=config)
+            scheduler = make_scheduler(teams=teams, config=config)
             for number in range(16):
-                queue(zone, request(f"r{number}", accelerators=1, checkpointable=True))
+                queue(scheduler, request(f"r{number}", accelerators=1, checkpointable=True))
             for number in range(self.WAVE):
-                queue(zone, request(f"a{number}", accelerators=1))
+                queue(scheduler, request(f"a{number}", accelerators=1))
             urgent = request("u", "b", Urgency.URGENT, at_ms, accelerators=1)
-            start_ms = self.wave(zone, at_ms, urgent)
+            start_ms = self.wave(scheduler, at_ms, urgent)
             self.assertIsNot(None, start_ms)
             self.assertTrue(start_ms - at_ms <= 3_600, start_ms)
 
 
 class GangTests(testtools.TestCase):
     def test_a_gang_waits_whole_and_is_not_starved_by_small_work(self):
-        zone = scheduler(teams=(team("a"), team("b")))
-        queue(zone, request("a0", accelerators=4, run_ms=1_000_000), 0)
+        scheduler = make_scheduler(teams=(team("a"), team("b")))
+        queue(scheduler, request("a0", accelerators=4, run_ms=1_000_000), 0)
         gang = request("g", "b", members=2, accelerators=8, adjacency=Adjacency.RACK)
-        self.assertEqual([], started(queue(zone, gang, 0)))
-        zone.step(Tick(), 20 * 60_000)
-        self.assertEqual("g", zone.zone.reservation.request.request_id)
+        self.assertEqual([], started(queue(scheduler, gang, 0)))
+        scheduler.step(Tick(), 20 * 60_000)
+        self.assertEqual("g", scheduler.zone.reservation.request.request_id)
         late = request("a1", accelerators=1, at_ms=20 * 60_000, run_ms=10**8)
-        self.assertEqual([], started(queue(zone, late, 20 * 60_000)))
+        self.assertEqual([], started(queue(scheduler, late, 20 * 60_000)))
         ended = RequestEnded("a0", EndReason.FINISHED, 1_300_000)
-        self.assertEqual(["g"], started(zone.step(ended, 1_300_000))[:1])
+        self.assertEqual(["g"], started(scheduler.step(ended, 1_300_000))[:1])
 
     def test_short_work_backfills_in_front_of_a_reservation(self):
-        zone = scheduler(teams=(team("a"), team("b")))
-        queue(zone, request("a0", accelerators=4, run_ms=10_000_000), 0)
-        queue(zone, request("g", "b", members=2, accelerators=8, adjacency=Adjacency.RACK), 0)
-        zone.step(Tick(), 20 * 60_000)
+        scheduler = make_scheduler(teams=(team("a"), team("b")))
+        queue(scheduler, request("a0", accelerators=4, run_ms=10_000_000), 0)
+        queue(scheduler, request("g", "b", members=2, accelerators=8, adjacency=Adjacency.RACK), 0)
+        scheduler.step(Tick(), 20 * 60_000)
         short = request("a1", accelerators=1, at_ms=20 * 60_000, run_ms=1_000)
-        self.assertEqual(["a1"], started(queue(zone, short, 20 * 60_000)))
+        self.assertEqual(["a1"], started(queue(scheduler, short, 20 * 60_000)))
 
     def test_a_waiting_request_is_explained(self):
-        zone = scheduler()
-        queue(zone, request("a0", accelerators=4))
-        queue(zone, request("g", "b", members=2, accelerators=8, adjacency=Adjacency.RACK))
-        told = zone.explain("g", 5_000)
+        scheduler = make_scheduler()
+        queue(scheduler, request("a0", accelerators=4))
+        queue(scheduler, request("g", "b", members=2, accelerators=8, adjacency=Adjacency.RACK))
+        told = scheduler.explain("g", 5_000)
         self.assertEqual("waiting", told.state)
         self.assertIn("2 x (8 accelerators", told.waits_for)
         self.assertIn("waits for 5000 ms", told.details)
-        self.assertEqual("running", zone.explain("a0", 5_000).state)
-        self.assertEqual("unknown", zone.explain("nobody", 5_000).state)
+        self.assertEqual("running", scheduler.explain("a0", 5_000).state)
+        self.assertEqual("unknown", scheduler.explain("nobody", 5_000).state)
 
 
 class RefusalTests(testtools.TestCase):
-    def refused(self, zone, pending, now_ms=0):
-        [reject] = of_type(queue(zone, pending, now_ms), Reject)
+    def refused(self, scheduler, pending, now_ms=0):
+        [reject] = of_type(queue(scheduler, pending, now_ms), Reject)
         return reject
 
     def test_never_runnable_is_told_at_once_with_the_reason(self):
-        zone = scheduler()
+        scheduler = make_scheduler()
         cases = (
             ({"accelerators": 9}, "no worker"),
             ({"members": 3, "accelerators": 8}, "2 of the 3"),
             ({"members": 2, "accelerators": 8, "adjacency": Adjacency.WORKER}, "1 of the 2"),
         )
         for demand, text in cases:
-            reject = self.refused(zone, request("x", **demand))
+            reject = self.refused(scheduler, request("x", **demand))
             self.assertEqual(RejectReason.INFEASIBLE, reject.reason)
             self.assertIn(text, reject.detail)
             self.assertIs(None, reject.retry_after_ms)
 
     def test_not_now_is_not_never(self):
-        zone = scheduler()
-        zone.step(WorkerLost("w0"), 0)
-        self.assertEqual([], of_type(queue(zone, request("x", members=16)), Reject))
+        scheduler = make_scheduler()
+        scheduler.step(WorkerLost("w0"), 0)
+        self.assertEqual([], of_type(queue(scheduler, request("x", members=16)), Reject))
 
     def test_a_full_queue_says_when_to_come_back(self):
-        zone = scheduler(teams=(team("a", max_queued=1),))
-        queue(zone, request("a0", members=2, accelerators=8))
-        queue(zone, request("a1", accelerators=1))
-        reject = self.refused(zone, request("a2", accelerators=1))
+        scheduler = make_scheduler(teams=(team("a", max_queued=1),))
+        queue(scheduler, request("a0", members=2, accelerators=8))
+        queue(scheduler, request("a1", accelerators=1))
+        reject = self.refused(scheduler, request("a2", accelerators=1))
         self.assertEqual(RejectReason.TEAM_QUEUE_FULL, reject.reason)
         self.assertTrue(1_000 <= reject.retry_after_ms <= 60_000)
 
     def test_all_queues_together_are_bounded(self):
-        zone = scheduler(config=SchedulingConfig(max_queued_total=0))
-        self.assertEqual(RejectReason.QUEUE_FULL, self.refused(zone, request("a0")).reason)
+        scheduler = make_scheduler(config=SchedulingConfig(max_queued_total=0))
+        self.assertEqual(RejectReason.QUEUE_FULL, self.refused(scheduler, request("a0")).reason)
 
     def test_a_deadline_that_passed_is_told(self):
-        zone = scheduler()
+        scheduler = make_scheduler()
         late = request("a0", deadline_ms=5)
-        self.assertEqual(RejectReason.DEADLINE_UNREACHABLE, self.refused(zone, late, 5).reason)
-        queue(zone, request("a1", members=2, accelerators=8), 5)
-        queue(zone, request("a2", accelerators=1, deadline_ms=900), 5)
-        [reject] = of_type(zone.step(Tick(), 1_000), Reject)
+        self.assertEqual(RejectReason.DEADLINE_UNREACHABLE, self.refused(scheduler, late, 5).reason)
+        queue(scheduler, request("a1", members=2, accelerators=8), 5)
+        queue(scheduler, request("a2", accelerators=1, deadline_ms=900), 5)
+        [reject] = of_type(scheduler.step(Tick(), 1_000), Reject)
         self.assertEqual(
             ("a2", RejectReason.DEADLINE_UNREACHABLE), (reject.request_id, reject.reason)
         )
 
     def test_an_unknown_team_is_refused(self):
-        reject = self.refused(scheduler(), request("x", "nobody"))
+        reject = self.refused(make_scheduler(), request("x", "nobody"))
         self.assertEqual(RejectReason.UNKNOWN_TEAM, reject.reason)
 
 
 class FailingTests(testtools.TestCase):
-    def fail(self, zone, number, job, now_ms):
+    def fail(self, scheduler, number, job, now_ms):
         pending = request(f"{job}{number}", accelerators=1, job=job)
-        [start] = queue(zone, pending, now_ms)
+        [start] = queue(scheduler, pending, now_ms)
         [name] = {a.worker for a in start.assignments}
         ended = RequestEnded(pending.request_id, EndReason.FAILED, 10, (name,))
-        return zone.step(ended, now_ms)
+        return scheduler.step(ended, now_ms)
 
     def test_a_worker_that_fails_all_gets_single_probes(self):
-        zone = scheduler()
-        decisions = [d for n in range(3) for d in self.fail(zone, n, f"j{n}", n)]
+        scheduler = make_scheduler()
+        decisions = [d for n in range(3) for d in self.fail(scheduler, n, f"j{n}", n)]
         [quarantine] = of_type(decisions, Quarantine)
-        [start] = queue(zone, request("x", accelerators=8), 10)
+        [start] = queue(scheduler, request("x", accelerators=8), 10)
         self.assertNotIn(quarantine.worker, {a.worker for a in start.assignments})
         for number in range(3):
-            queue(zone, request(f"y{number}", accelerators=1), 10)
-        probes = started(zone.step(Tick(), 70_000)) + started(zone.step(Tick(), 71_000))
+            queue(scheduler, request(f"y{number}", accelerators=1), 10)
+        probes = started(scheduler.step(Tick(), 70_000)) + started(scheduler.step(Tick(), 71_000))
         self.assertEqual(["y0"], probes)
-        ended = zone.step(RequestEnded("y0", EndReason.FINISHED, 10), 72_000)
+        ended = scheduler.step(RequestEnded("y0", EndReason.FINISHED, 10), 72_000)
         self.assertEqual([True], [q.lifted for q in of_type(ended, Quarantine)])
 
     def test_a_request_that_failed_on_all_that_could_run_it_is_given_up(self):
-        zone = scheduler()
+        scheduler = make_scheduler()
         pending = request("x", members=2, accelerators=8)
-        queue(zone, pending)
-        zone.step(RequestEnded("x", EndReason.FAILED, 10, ("w0",)), 1)
-        [reject] = of_type(queue(zone, pending, 1), Reject)
+        queue(scheduler, pending)
+        scheduler.step(RequestEnded("x", EndReason.FAILED, 10, ("w0",)), 1)
+        [reject] = of_type(queue(scheduler, pending, 1), Reject)
         self.assertEqual(RejectReason.FAILS_EVERYWHERE, reject.reason)
 
 
 class DuplicateTests(testtools.TestCase):
     def test_a_request_that_waits_or_runs_is_not_taken_twice(self):
-        zone = scheduler()
-        self.assertEqual(["x"], started(queue(zone, request("x", members=2, accelerators=8))))
-        self.assertEqual([], queue(zone, request("x", members=2, accelerators=8)))
+        scheduler = make_scheduler()
+        self.assertEqual(["x"], started(queue(scheduler, request("x", members=2, accelerators=8))))
+        self.assertEqual([], queue(scheduler, request("x", members=2, accelerators=8)))
         for _ in range(2):
-            queue(zone, request("y", accelerators=8))
-        self.assertEqual(1, zone.zone.queue.counts["a"])
+            queue(scheduler, request("y", accelerators=8))
+        self.assertEqual(1, scheduler.zone.queue.counts["a"])
 
 
 class ChangeTests(testtools.TestCase):
     def test_lost_workers_put_guarantees_at_risk_and_back(self):
-        zone = scheduler(teams=(team("a", (8,)), team("b", (8,))))
-        [risk] = of_type(zone.step(WorkerLost("w0"), 0), GuaranteeAtRisk)
+        scheduler = make_scheduler(teams=(team("a", (8,)), team("b", (8,))))
+        [risk] = of_type(scheduler.step(WorkerLost("w0"), 0), GuaranteeAtRisk)
         self.assertEqual(1, len(risk.teams))
-        [risk] = of_type(zone.step(WorkerJoined(worker("w9")), 0), GuaranteeAtRisk)
+        [risk] = of_type(scheduler.step(WorkerJoined(worker("w9")), 0), GuaranteeAtRisk)
         self.assertEqual((), risk.teams)
 
     def test_a_leaving_worker_takes_nothing_new(self):
-        zone = scheduler()
-        zone.step(WorkerLeaving("w0"), 0)
-        [start] = queue(zone, request("x"))
+        scheduler = make_scheduler()
+        scheduler.step(WorkerLeaving("w0"), 0)
+        [start] = queue(scheduler, request("x"))
         self.assertEqual({"w1"}, {a.worker for a in start.assignments})
 
     def test_reported_usage_does_not_undo_what_was_placed_since(self):
-        zone = scheduler()
-        queue(zone, request("a0", accelerators=8))
-        queue(zone, request("a1", accelerators=8))
+        scheduler = make_scheduler()
+        queue(scheduler, request("a0", accelerators=8))
+        queue(scheduler, request("a1", accelerators=8))
         for name in ("w0", "w1"):
-            zone.step(UsageReported(name, 0, 0, 0), 1_000)
-        self.assertEqual([], started(queue(zone, request("a2", accelerators=1), 1_000)))
+            scheduler.step(UsageReported(name, 0, 0, 0), 1_000)
+        self.assertEqual([], started(queue(scheduler, request("a2", accelerators=1), 1_000)))
 
     def test_a_new_scheduler_takes_over_what_runs(self):
-        before = scheduler(teams=(team("a", (8,)), team("b", (8,))))
+        before = make_scheduler(teams=(team("a", (8,)), team("b", (8,))))
         pending = request("a0", accelerators=8, preemptible=False)
         [start] = queue(before, pending)
-        after = scheduler(teams=(team("a", (8,)), team("b", (8,))))
+        after = make_scheduler(teams=(team("a", (8,)), team("b", (8,))))
         after.step(RequestRunning(pending, start.assignments, 0), 0)
         self.assertEqual(["b0"], started(queue(after, request("b0", "b", accelerators=8), 1)))
         self.assertEqual((), after.zone.layout.missing())
@@ -311,9 +315,10 @@
 
     def test_equal_events_give_equal_decisions(self):
         def run():
-            zone = scheduler(racks=2, teams=(team("a", (8,)), team("b", (4,))))
+            scheduler = make_scheduler(racks=2, teams=(team("a", (8,)), team("b", (4,))))
             return [
-                queue(zone, request(f"x{n}", "ab"[n % 2], accelerators=n % 5)) for n in range(30)
+                queue(scheduler, request(f"x{n}", "ab"[n % 2], accelerators=n % 5))
+                for n in range(30)
             ]
 
         self.assertEqual(run(), run())
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/tests/test_replay.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/tests/test_replay.py
@@ -13,7 +13,7 @@
     Tick,
     WorkerJoined,
 )
-from agateferry_scheduling.scheduler.tests.zones import request, team, worker
+from agateferry_scheduling.scheduler.tests.support import request, team, worker
 from agateferry_scheduling.traces.cluster import BrokenInvariant, Cluster
 from agateferry_scheduling.traces.recorder import Recorder
 from agateferry_scheduling.traces.records import (
