--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler's one entry: events in, decisions out."""
+"""The schedulers of a zone: they take events and return decisions."""
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/baseline.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/baseline.py
@@ -1,4 +1,4 @@
-"""The baseline policy: first come first served, first fit, nothing taken back."""
+"""The baseline policy: first come, first served, first fit, no preemption."""
 
 from collections import OrderedDict
 
@@ -28,12 +28,12 @@
 
 
 class BaselineScheduler:
-    """Start requests in the order in which they came, each where it first fits.
+    """Start requests in order of arrival, each on the first workers that it fits on.
 
     A gang starts whole or not at all and keeps its adjacency. The oldest request that does not fit
-    holds up those behind it. Guarantees, urgency and estimates are not looked at. For example
-    `BaselineScheduler("norsk-a").step(WorkerJoined(worker), now_ms)` gives the starts that the new
-    worker makes possible.
+    blocks those behind it. Guarantees, urgency and run time estimates are ignored. For example
+    `BaselineScheduler("norsk-a").step(WorkerJoined(worker), now_ms)` returns the starts that the
+    new worker makes possible.
     """
 
     def __init__(self, zone: str, config: SchedulingConfig | None = None) -> None:
@@ -43,21 +43,23 @@
         self._queue: OrderedDict[str, PendingRequest] = OrderedDict()
 
     def step(self, event: SchedulerEvent, now_ms: int) -> list[Decision]:
-        """Take one event in and return rejections and starts."""
-        rejected = self._take(event, now_ms)
+        """Process one event and return rejections and starts."""
+        rejected = self._apply(event, now_ms)
         return rejected + self._start_all(now_ms)
 
     def explain(self, request_id: str, now_ms: int) -> Explanation:
-        """Tell how many requests stand before this one."""
+        """Return how many older requests are queued before this one."""
         if request_id in self.topology.allocations:
             return Explanation(request_id, "running", "nothing", "it has started")
         if request_id not in self._queue:
             return Explanation(request_id, "unknown", "nothing", "it is submitted")
-        place = list(self._queue).index(request_id)
-        waits = f"{place} older requests" if place else "workers with enough room"
-        return Explanation(request_id, "waiting", waits, "older requests start and workers free up")
+        position = list(self._queue).index(request_id)
+        waits = f"{position} older requests" if position else "workers with enough free resources"
+        return Explanation(
+            request_id, "waiting", waits, "older requests start and workers become free"
+        )
 
-    def _take(self, event: SchedulerEvent, now_ms: int) -> list[Decision]:
+    def _apply(self, event: SchedulerEvent, now_ms: int) -> list[Decision]:
         match event:
             case RequestQueued(request=request):
                 return self._admit(request)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
@@ -1,4 +1,4 @@
-"""Say why a request is where it is."""
+"""Explain the state of a request to its owner or an operator."""
 
 from agateferry_scheduling.scheduler.messages import Explanation, PendingRequest
 from agateferry_scheduling.scheduler.zone import ZoneState
@@ -19,11 +19,11 @@
 def _explain_placed(zone: ZoneState, allocation: Allocation, now_ms: int) -> Explanation:
     request_id = allocation.request.request_id
     where = ", ".join(f"{name} x{count}" for name, count in allocation.counts.items())
-    details = (f"workers: {where}", f"right: {allocation.backing}")
+    details = (f"workers: {where}", f"allocation: {allocation.backing}")
     claim = zone.claims.open.get(request_id)
     if claim is not None:
-        waits = f"borrowed work on {where} to stop"
-        if_stopped = f"it stops, which it does within {max(claim.by_ms - now_ms, 0)} ms"
+        waits = f"preempted work on {where} to stop"
+        if_stopped = f"that work stops, at the latest in {max(claim.by_ms - now_ms, 0)} ms"
         return Explanation(request_id, "reclaiming", waits, if_stopped, details)
     state = "stopping" if allocation.stopping else "running"
     return Explanation(request_id, state, "nothing", "it has started", details)
@@ -31,22 +31,22 @@
 
 def _explain_waiting(zone: ZoneState, request: PendingRequest, now_ms: int) -> Explanation:
     group = zone.queue.by_request[request.request_id]
-    place = list(group.requests).index(request.request_id)
-    team = zone.shares.share(request.team, zone.topology.accelerators, zone.topology.slots)
+    position = list(group.requests).index(request.request_id)
+    team_share = zone.shares.share(request.team, zone.topology.accelerators, zone.topology.slots)
     likely_ms = zone.estimates.likely_ms(request)
     details = [
         f"waits for {now_ms - request.submitted_ms} ms",
-        f"{place} like it stand before it",
-        f"share of team {request.team} by weight: {team:.3f}",
+        f"{position} identical requests are queued before it",
+        f"weighted share of team {request.team}: {team_share:.3f}",
         f"likely run time {likely_ms} ms, declared {request.declared_run_ms} ms",
     ]
     reservation = zone.reservation
-    starts_if = f"{group.waits_for} come free"
+    starts_if = f"{group.waits_for} become available"
     if reservation is not None and reservation.request.request_id == request.request_id:
         names = ", ".join(sorted(reservation.workers))
-        details.append(f"reserved for it: {names}")
+        details.append(f"workers reserved for it: {names}")
         wait_ms = max(reservation.start_ms - now_ms, 0)
         starts_if = f"work on {names} ends, likely within {wait_ms} ms"
     elif reservation is not None:
-        details.append(f"{len(reservation.workers)} workers are kept for an older gang")
+        details.append(f"{len(reservation.workers)} workers are reserved for an older gang")
     return Explanation(request.request_id, "waiting", group.waits_for, starts_if, tuple(details))
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
@@ -1,4 +1,4 @@
-"""Find the workers on which a request can start now, or could once others stop."""
+"""Find workers on which a request can start now, or after other work is preempted."""
 
 from collections.abc import Iterable, Iterator
 
@@ -14,102 +14,104 @@
 from agateferry_scheduling.scheduler.zone import ZoneState
 from agateferry_scheduling.topology import Backing, WorkerState
 
-CANDIDATES_FOR_ONE = 48
-WORKERS_WEIGHED = 12
-RACKS_WEIGHED = 3
+MAX_CANDIDATES_SINGLE_MEMBER = 48
+MAX_WORKERS_COMPARED = 12
+MAX_RACKS_COMPARED = 3
 
 
-class Finder:
-    """Look for places by right: within the team's cells, borrowed, pinned, or by taking back."""
+class PlacementFinder:
+    """Find placements: within the team's cells, on other free workers, or by preemption."""
 
     def __init__(self, zone: ZoneState) -> None:
         self._zone = zone
 
-    def within_cells(self, request: PendingRequest) -> Counts | None:
-        """Return free workers within the team's cells."""
+    def find_in_cells(self, request: PendingRequest) -> Counts | None:
+        """Return a placement on free workers within the team's cells."""
         demand = request.demand
         layout = self._zone.layout
         candidates = []
         for state in self._cell_workers(request):
-            room = min(state.room_for(demand), layout.room_own(request.team, state, demand))
-            if room:
-                candidates.append(self._candidate(state, room, demand))
+            max_members = min(state.room_for(demand), layout.room_own(request.team, state, demand))
+            if max_members:
+                candidates.append(self._candidate(state, max_members, demand))
         return choose(candidates, demand)
 
-    def free(self, request: PendingRequest, now_ms: int, searched: int = -1) -> Counts | None:
-        """Return free workers, outside what is reserved for others and kept for urgent work.
+    def find_free(self, request: PendingRequest, now_ms: int, searched: int = -1) -> Counts | None:
+        """Return a placement on free workers that are not reserved for another request.
 
-        Workers are passed over on which nothing came free since the mark `searched`. Work that
-        cannot be taken back only goes where it breaks no guarantee.
+        Workers on which nothing was freed since the mark `searched` are skipped. Requests that are
+        not preemptible are placed only where they break no guarantee.
         """
         demand = request.demand
         ends_ms = now_ms + self._zone.estimates.at_most_ms(request)
-        kept = self._reservation_against(request)
+        reservation = self._binding_reservation(request)
         candidates = []
-        for state in self._open(request, searched):
-            room = state.room_for(demand)
-            if not room or (kept is not None and kept.keeps_out(state.name, ends_ms)):
+        for state in self._open_workers(request, searched):
+            max_members = state.room_for(demand)
+            if not max_members or (
+                reservation is not None and reservation.keeps_out(state.name, ends_ms)
+            ):
                 continue
             if not request.preemptible:
-                room = min(room, self._zone.layout.slack(state).room_for(demand))
-            if room:
-                candidates.append(self._candidate(state, room, demand))
-                if len(candidates) >= CANDIDATES_FOR_ONE and demand.members == 1:
+                max_members = min(max_members, self._zone.layout.slack(state).room_for(demand))
+            if max_members:
+                candidates.append(self._candidate(state, max_members, demand))
+                if len(candidates) >= MAX_CANDIDATES_SINGLE_MEMBER and demand.members == 1:
                     break
         return choose(candidates, demand)
 
-    def cover(self, request: PendingRequest, counts: Counts) -> bool:
-        """Move the team's unused cells onto these workers, or none if they cannot cover it."""
+    def cover_with_cells(self, request: PendingRequest, counts: Counts) -> bool:
+        """Move the team's unused cells onto these workers; move none if they cannot cover all."""
         layout = self._zone.layout
         before = layout.places()
-        covered = self._bring_cells(request, counts)
+        covered = self._move_cells_to(request, counts)
         if not covered:
             layout.put_back(before)
         return covered
 
-    def _bring_cells(self, request: PendingRequest, counts: Counts) -> bool:
+    def _move_cells_to(self, request: PendingRequest, counts: Counts) -> bool:
         layout = self._zone.layout
         demand = request.demand
         states = [(self._zone.topology.workers[name], n) for name, n in counts.items()]
         for state, members in states:
             if layout.room_own(request.team, state, demand) >= members:
                 continue
-            if not self._bring_cell(request, state, demand.accelerators * members):
+            if not self._move_cell_to(request, state, demand.accelerators * members):
                 return False
         return all(layout.room_own(request.team, s, demand) >= n for s, n in states)
 
-    def reclaim(self, request: PendingRequest, now_ms: int) -> tuple[Counts, Plan] | None:
-        """Return workers within the team's cells, and what to stop there."""
+    def find_reclaim(self, request: PendingRequest, now_ms: int) -> tuple[Counts, Plan] | None:
+        """Return a placement within the team's cells and the work to preempt there."""
         demand = request.demand
         layout = self._zone.layout
-        rooms = {}
+        fits = {}
         for state in self._cell_workers(request):
             own = layout.room_own(request.team, state, demand)
-            room = min(own, state.after_reclaim(urgent_too=True).room_for(demand))
-            if room:
-                rooms[state.name] = room
-        return self._cheapest(demand, rooms, lambda allocation: True, now_ms)
+            max_members = min(own, state.after_reclaim(urgent_too=True).room_for(demand))
+            if max_members:
+                fits[state.name] = max_members
+        return self._cheapest_preemption(demand, fits, lambda allocation: True, now_ms)
 
-    def take_back(
+    def find_preemption(
         self, request: PendingRequest, names: Iterable[str], allowed: Allowed, now_ms: int
     ) -> tuple[Counts, Plan] | None:
-        """Return some of these workers, and which borrowed work to stop there."""
+        """Return a placement on some of these workers and the borrowed work to preempt there."""
         demand = request.demand
         avoided = self._zone.health.avoided(request.request_id)
-        rooms = {}
+        fits = {}
         for name in names:
             state = self._zone.topology.workers.get(name)
             if state is None or not state.is_open() or name in avoided:
                 continue
-            room = state.after_reclaim(urgent_too=False).room_for(demand)
+            max_members = state.after_reclaim(urgent_too=False).room_for(demand)
             if not request.preemptible:
-                room = min(room, self._zone.layout.slack(state).room_for(demand))
-            if room:
-                rooms[name] = room
-        return self._cheapest(demand, self._shortlist(demand, rooms), allowed, now_ms)
+                max_members = min(max_members, self._zone.layout.slack(state).room_for(demand))
+            if max_members:
+                fits[name] = max_members
+        return self._cheapest_preemption(demand, self._shortlist(demand, fits), allowed, now_ms)
 
     def is_cheaper(self, request: PendingRequest, one: Counts, other: Counts) -> bool:
-        """Tell whether one placement destroys less than the other."""
+        """Tell whether one placement costs less than the other."""
         return self._cost(request, one) < self._cost(request, other)
 
     def _cost(self, request: PendingRequest, counts: Counts) -> float:
@@ -121,40 +123,44 @@
             cost += members * cost_of(state, rack, request.demand)
         return cost
 
-    def _shortlist(self, demand: Demand, rooms: dict[str, int]) -> dict[str, int]:
-        """Keep the roomiest racks or workers, because weighing what they run takes time."""
-        if len(rooms) <= WORKERS_WEIGHED:
-            return rooms
+    def _shortlist(self, demand: Demand, fits: dict[str, int]) -> dict[str, int]:
+        """Keep the racks or workers that fit most members; planning victims on all is too slow."""
+        if len(fits) <= MAX_WORKERS_COMPARED:
+            return fits
         if demand.adjacency is Adjacency.RACK and demand.members > 1:
             workers = self._zone.topology.workers
             by_rack: dict[str, dict[str, int]] = {}
-            for name, room in rooms.items():
-                by_rack.setdefault(workers[name].worker.rack, {})[name] = room
+            for name, max_members in fits.items():
+                by_rack.setdefault(workers[name].worker.rack, {})[name] = max_members
             best = sorted(by_rack.values(), key=lambda rack: -sum(rack.values()))
-            return {name: room for rack in best[:RACKS_WEIGHED] for name, room in rack.items()}
+            return {
+                name: max_members
+                for rack in best[:MAX_RACKS_COMPARED]
+                for name, max_members in rack.items()
+            }
         chosen: dict[str, int] = {}
-        for name, room in sorted(rooms.items(), key=lambda item: -item[1]):
-            if len(chosen) >= WORKERS_WEIGHED and sum(chosen.values()) >= 2 * demand.members:
+        for name, max_members in sorted(fits.items(), key=lambda item: -item[1]):
+            if len(chosen) >= MAX_WORKERS_COMPARED and sum(chosen.values()) >= 2 * demand.members:
                 break
-            chosen[name] = room
+            chosen[name] = max_members
         return chosen
 
-    def _cheapest(
-        self, demand: Demand, rooms: dict[str, int], allowed: Allowed, now_ms: int
+    def _cheapest_preemption(
+        self, demand: Demand, fits: dict[str, int], allowed: Allowed, now_ms: int
     ) -> tuple[Counts, Plan] | None:
         topology = self._zone.topology
         needed_each = demand.members if demand.adjacency is Adjacency.WORKER else 1
         candidates = []
-        for name, room in rooms.items():
+        for name, max_members in fits.items():
             state = topology.workers[name]
-            if room < needed_each:
+            if max_members < needed_each:
                 continue
-            plan = plan_for(topology, state, demand, room, allowed, now_ms)
-            while plan is None and room > needed_each:
-                room -= 1
-                plan = plan_for(topology, state, demand, room, allowed, now_ms)
+            plan = plan_for(topology, state, demand, max_members, allowed, now_ms)
+            while plan is None and max_members > needed_each:
+                max_members -= 1
+                plan = plan_for(topology, state, demand, max_members, allowed, now_ms)
             if plan is not None:
-                candidates.append(Candidate(state, room, plan.lost_ms / room))
+                candidates.append(Candidate(state, max_members, plan.lost_ms / max_members))
         counts = choose(candidates, demand)
         if counts is None:
             return None
@@ -167,20 +173,20 @@
             victims.update({victim.request.request_id: victim for victim in plan.victims})
         return counts, Plan(tuple(victims.values()), 0)
 
-    def _bring_cell(self, request: PendingRequest, state: WorkerState, wanted: int) -> bool:
+    def _move_cell_to(self, request: PendingRequest, state: WorkerState, wanted: int) -> bool:
         layout = self._zone.layout
         for cell in layout.cells:
             if cell.team != request.team or not cell.places or state.name in cell.places:
                 continue
             if cell.accelerators < wanted or not layout.is_movable(cell):
                 continue
-            for places in self._new_places(cell, state):
+            for places in self._placements_including(cell, state):
                 if layout.move(cell, places):
                     return True
         return False
 
-    def _new_places(self, cell: Cell, state: WorkerState) -> list[dict[str, int]]:
-        """Return where a cell could lie so that it includes a worker."""
+    def _placements_including(self, cell: Cell, state: WorkerState) -> list[dict[str, int]]:
+        """Return the layouts of a cell that include a worker."""
         first = min(state.worker.accelerators, cell.accelerators)
         if first == cell.accelerators:
             return [{state.name: first}]
@@ -204,17 +210,17 @@
             if state is not None and state.is_open() and name not in avoided:
                 yield state
 
-    def _open(self, request: PendingRequest, searched: int) -> Iterator[WorkerState]:
+    def _open_workers(self, request: PendingRequest, searched: int) -> Iterator[WorkerState]:
         avoided = self._zone.health.avoided(request.request_id)
         wanted = request.demand.accelerators
-        for state in self._changed(request.demand, searched):
+        for state in self._workers_to_search(request.demand, searched):
             if state.free_slots <= 0 or state.free_accelerators < wanted:
                 continue
             if state.is_open() and state.name not in avoided:
                 yield state
 
-    def _changed(self, demand: Demand, searched: int) -> Iterable[WorkerState]:
-        """Return the workers that may have room now and had none at the mark."""
+    def _workers_to_search(self, demand: Demand, searched: int) -> Iterable[WorkerState]:
+        """Return the workers that may fit a member now and did not at the mark."""
         topology = self._zone.topology
         names = None if searched < 0 else topology.freed.since(searched)
         if names is None or (demand.members > 1 and demand.adjacency is Adjacency.ANY and names):
@@ -229,27 +235,27 @@
         racks = dict.fromkeys(state.worker.rack for state in states)
         return [state for rack in racks for state in topology.racks[rack].workers.values()]
 
-    def _candidate(self, state: WorkerState, room: int, demand: Demand) -> Candidate:
+    def _candidate(self, state: WorkerState, max_members: int, demand: Demand) -> Candidate:
         rack = self._zone.topology.racks[state.worker.rack]
-        return Candidate(state, room, cost_of(state, rack, demand))
+        return Candidate(state, max_members, cost_of(state, rack, demand))
 
-    def _reservation_against(self, request: PendingRequest) -> Reservation | None:
-        """Return the reservation that a request must keep to, if its holder still waits."""
+    def _binding_reservation(self, request: PendingRequest) -> Reservation | None:
+        """Return the reservation that a request must respect, if its owner still waits."""
         reservation = self._zone.reservation
         if reservation is None or request.urgency is Urgency.URGENT:
             return None
-        holder = reservation.request.request_id
-        waits = self._zone.queue.get(holder) is not None
-        return reservation if waits and holder != request.request_id else None
+        owner = reservation.request.request_id
+        waits = self._zone.queue.get(owner) is not None
+        return reservation if waits and owner != request.request_id else None
 
-    def eats_headroom(self, request: PendingRequest) -> bool:
-        """Tell whether a start would use slots that are kept for urgent work."""
+    def uses_urgent_headroom(self, request: PendingRequest) -> bool:
+        """Tell whether a start would use the slots kept free for urgent work."""
         if request.urgency is Urgency.URGENT or is_large(request):
             return False
         left = self._zone.topology.free_slots - request.demand.members
         return left < self._zone.config.urgent_headroom_slots
 
 
-def backing_of(request: PendingRequest) -> Backing:
-    """Return by what right a request holds workers outside its team's cells."""
+def kind_outside_cells(request: PendingRequest) -> Backing:
+    """Return the kind of an allocation outside the team's cells."""
     return Backing.BORROWED if request.preemptible else Backing.PINNED
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/messages.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/messages.py
@@ -1,9 +1,9 @@
-"""Events that a scheduler takes and decisions that it gives.
+"""Events that a scheduler receives and decisions that it returns.
 
-A scheduler does no I/O. Whoever runs it, the leader of a zone's cell or a replay, passes each
-event with the time to `Scheduler.step` and carries out the decisions that come back. A decision to
-start counts as placed from that moment on; the caller reports what became of it by later events.
-All times are milliseconds of one monotonic clock.
+A scheduler does no I/O. Its caller, the leader of a zone's cell or a trace replay, passes each
+event with the current time to `Scheduler.step` and carries out the returned decisions. The
+scheduler treats a request as placed as soon as it returns `Start`; the caller reports the outcome
+in later events. All times are milliseconds of one monotonic clock.
 """
 
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """A team of this zone: its guaranteed shapes, its weight in fair shares and its queue limit."""
+    """A team of this zone: its guaranteed shapes, fair-share weight and queue limit."""
 
     name: str
     guarantee: tuple[Shape, ...] = ()
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyWeights:
-    """What a deployment cares for more; the two weights are shares of one."""
+    """Relative importance of the two objectives in a deployment; the weights add up to 1."""
 
     completion_time: float = 0.5
     fragmentation: float = 0.5
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulingConfig:
-    """All that operators can change at run time about decisions."""
+    """The scheduling settings that operators can change at run time."""
 
     weights: PolicyWeights = PolicyWeights()
     urgent_start_ms: int = 3_600
@@ -49,9 +49,9 @@
 class PendingRequest:
     """A request as the scheduler sees it.
 
-    `declared_run_ms` comes from the caller and is often far off. `deadline_ms` is when an answer
-    is no longer of use. `preemptible` work may be taken back; `checkpointable` work loses only what
-    was done since its last checkpoint.
+    `declared_run_ms` is the caller's estimate, which is often far off. After `deadline_ms` an
+    answer is no longer useful. A `checkpointable` request that is preempted loses only the progress
+    since its last checkpoint.
     """
 
     request_id: str
@@ -67,7 +67,7 @@
 
 
 class EndReason(StrEnum):
-    """Say how a request that held workers came to its end."""
+    """How a placed request ended."""
 
     FINISHED = "finished"
     FAILED = "failed"
@@ -78,28 +78,28 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerJoined:
-    """A worker announced itself, for the first time or with a changed size."""
+    """A worker registered, for the first time or with a changed capacity."""
 
     worker: Worker
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerLeaving:
-    """A worker takes no new work; what it runs goes on."""
+    """A worker is draining: it accepts no new work and continues what it runs."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerLost:
-    """A worker is gone; the caller reports the end of what ran there by `RequestEnded`."""
+    """A worker is gone; the caller reports each request that ran there with `RequestEnded`."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class UsageReported:
-    """What a worker said it used at `as_of_ms`, which lies in the past."""
+    """The usage that a worker reported for `as_of_ms`, a time in the past."""
 
     name: str
     as_of_ms: int
@@ -109,14 +109,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestQueued:
-    """A request waits to be placed; a preempted or failed one is queued again in the same way."""
+    """A request waits for placement; sent again when a preempted or failed request is requeued."""
 
     request: PendingRequest
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRunning:
-    """A request already holds workers, told to a scheduler that has just begun."""
+    """A request is already running; sent to a scheduler that has just started."""
 
     request: PendingRequest
     assignments: tuple[Assignment, ...]
@@ -125,16 +125,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestWithdrawn:
-    """A waiting request was cancelled or gave up; a request not known any more is no error."""
+    """A waiting request was cancelled or given up; an unknown request id is ignored."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class RequestEnded:
-    """A placed request let go of its workers.
+    """A placed request ended and released its workers.
 
-    `run_ms` is the time it ran. `failed_workers` names the workers that the failure is laid to.
+    `run_ms` is the time it ran. `failed_workers` names the workers that the failure is attributed
+    to.
     """
 
     request_id: str
@@ -145,21 +146,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamsChanged:
-    """The whole list of teams of the zone, as the records now state it."""
+    """The complete list of teams of the zone from the current records."""
 
     teams: tuple[Team, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigChanged:
-    """The whole scheduling configuration, as the records now state it."""
+    """The complete scheduling configuration from the current records."""
 
     config: SchedulingConfig
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passed; deadlines, ageing, probes and reservations are looked at."""
+    """Time passed; deadlines, ageing, probes and reservations are checked."""
 
 
 SchedulerEvent = (
@@ -179,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Run a request on these workers; its accelerators and slots are taken from now on."""
+    """Run a request on these workers; its resources are allocated from now on."""
 
     request_id: str
     assignments: tuple[Assignment, ...]
@@ -187,18 +188,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Preempt:
-    """Take a running request's workers back: checkpoint it if it can, and stop it by `by_ms`.
+    """Stop a running request by `stop_by_ms`, after a checkpoint if it is checkpointable.
 
-    The caller answers with `RequestEnded(..., PREEMPTED, ...)` and queues the request again.
+    The caller reports `RequestEnded(..., PREEMPTED, ...)` and then requeues the request.
+    `for_request_id` is the request that needs the workers, or the request itself if it is moved.
     """
 
     request_id: str
     for_request_id: str
-    by_ms: int
+    stop_by_ms: int
 
 
 class RejectReason(StrEnum):
-    """Say why a waiting request is given up at once; also the label of its counter."""
+    """Why a waiting request is rejected; the value is also a label of the rejection counter."""
 
     INFEASIBLE = "infeasible"
     TEAM_QUEUE_FULL = "team-queue-full"
@@ -210,9 +212,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Give a waiting request its final answer now; nothing of it ran under this decision.
+    """Reject a waiting request; the request is not running.
 
-    `retry_after_ms` is None where asking again is of no use.
+    `retry_after_ms` is None if a retry cannot succeed.
     """
 
     request_id: str
@@ -223,7 +225,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Quarantine:
-    """Give a worker no work but single probes, or, with `lifted`, give it work again."""
+    """Restrict a worker to single probe requests, or end the restriction if `lifted`."""
 
     worker: str
     lifted: bool
@@ -232,9 +234,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GuaranteeAtRisk:
-    """The zone's remaining workers cannot lay out these teams' guaranteed shapes any more.
+    """The zone's remaining workers can no longer hold these teams' guaranteed shapes.
 
-    An empty tuple says that all guarantees can be kept again.
+    An empty tuple means that all guarantees can be met again.
     """
 
     teams: tuple[str, ...]
@@ -246,7 +248,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """Why a request waits, what it waits for and what would let it start."""
+    """The state of a request, what it waits for and what would let it start."""
 
     request_id: str
     state: str
@@ -256,10 +258,10 @@
 
 
 class Scheduler(Protocol):
-    """Decide what starts where; two policies, ours and the baseline, share this face."""
+    """The interface of both scheduling policies, fair and baseline."""
 
     def step(self, event: SchedulerEvent, now_ms: int) -> list[Decision]:
-        """Take one event in and return what to do, in the order to do it."""
+        """Process one event and return the decisions in the order to carry them out."""
 
     def explain(self, request_id: str, now_ms: int) -> Explanation:
-        """Tell why a request is where it is."""
+        """Return why a request is in its current state."""
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
@@ -1,14 +1,15 @@
 """The fair policy: guarantees first, then urgency, fair shares and whole racks.
 
-`FairScheduler` takes events and gives decisions, without I/O and without chance: the same events at
-the same times give the same decisions. It wants a `Tick` at least twice a second while anything
-waits, because deadlines, patience, probes and reservations depend on time alone.
+`FairScheduler` takes events and returns decisions. It does no I/O and is deterministic: the same
+events at the same times give the same decisions. It needs a `Tick` at least twice a second while
+any request waits, because deadlines, waits for a compact placement, probes and reservations depend
+on time alone.
 """
 
 from agateferry_core.demand import Worker
 from agateferry_scheduling.scheduler.admission import Admission
 from agateferry_scheduling.scheduler.explaining import explain
-from agateferry_scheduling.scheduler.finder import Finder
+from agateferry_scheduling.scheduler.finder import PlacementFinder
 from agateferry_scheduling.scheduler.messages import (
     ConfigChanged,
     Decision,
@@ -30,73 +31,73 @@
     WorkerLost,
 )
 from agateferry_scheduling.scheduler.moving import Mover
-from agateferry_scheduling.scheduler.reclaiming import Reclaimer
+from agateferry_scheduling.scheduler.preempting import Preemptor
 from agateferry_scheduling.scheduler.starting import Starter
 from agateferry_scheduling.scheduler.zone import ZoneState
 
-PASS_GAP_MS = 500
+PASS_INTERVAL_MS = 500
 
 
 class FairScheduler:
-    """Keep guarantees, fill racks and start urgent work soon.
+    """Meet guarantees, keep whole racks free and start urgent requests early.
 
     For example `FairScheduler("norsk-a").step(RequestQueued(request), now_ms)` returns a `Start`,
-    the `Preempt`s that make room for it, a `Reject`, or nothing while the request waits.
+    the `Preempt`s of the work in its way, a `Reject`, or nothing while the request waits.
     """
 
     def __init__(self, zone: str, config: SchedulingConfig | None = None) -> None:
         self.zone = ZoneState(zone, config or SchedulingConfig())
         self._admission = Admission(self.zone)
-        finder = Finder(self.zone)
-        self._reclaimer = Reclaimer(self.zone, finder)
-        self._starter = Starter(self.zone, finder, self._reclaimer)
+        finder = PlacementFinder(self.zone)
+        self._preemptor = Preemptor(self.zone, finder)
+        self._starter = Starter(self.zone, finder, self._preemptor)
         self._mover = Mover(self.zone, finder)
         self._at_risk: tuple[str, ...] = ()
-        self._passed_version = -1
-        self._passed_ms = 0
-        self._unfinished = False
+        self._last_pass_version = -1
+        self._last_pass_ms = 0
+        self._is_unfinished = False
 
     def step(self, event: SchedulerEvent, now_ms: int) -> list[Decision]:
-        """Take one event in and return what to do, in the order to do it."""
+        """Process one event and return the decisions in the order to carry them out."""
         if isinstance(event, RequestRunning):
             self.zone.adopt(event.request, event.assignments, event.started_ms)
             return []
-        self.zone.settle_adopted()
-        decisions = self._take(event, now_ms)
-        decisions += self._reclaimer.start_ready(now_ms)
+        self.zone.finish_adoption()
+        decisions = self._handle(event, now_ms)
+        decisions += self._preemptor.start_ready(now_ms)
         if self._is_pass_due(now_ms):
-            decisions += self._pass(now_ms)
-        return decisions + self._risks()
+            decisions += self._run_pass(now_ms)
+        return decisions + self._guarantee_risks()
 
     def explain(self, request_id: str, now_ms: int) -> Explanation:
-        """Tell why a request is where it is."""
+        """Return why a request is in its current state."""
         return explain(self.zone, request_id, now_ms)
 
-    def _take(self, event: SchedulerEvent, now_ms: int) -> list[Decision]:
+    def _handle(self, event: SchedulerEvent, now_ms: int) -> list[Decision]:
         match event:
             case RequestQueued(request=request):
-                return self._queue(request, now_ms)
+                return self._enqueue(request, now_ms)
             case RequestEnded():
                 return self._end(event, now_ms)
             case RequestWithdrawn(request_id=request_id):
                 self._withdraw(request_id)
             case Tick():
-                return self._admission.expire(now_ms) + self._mover.look(now_ms)
+                return self._admission.expire(now_ms) + self._mover.start_move_if_due(now_ms)
             case _:
-                self._take_change(event)
+                self._apply_change(event)
         return []
 
-    def _take_change(self, event: SchedulerEvent) -> None:
+    def _apply_change(self, event: SchedulerEvent) -> None:
         zone = self.zone
         match event:
             case WorkerJoined(worker=worker):
                 self._join(worker)
             case WorkerLeaving(name=name):
                 zone.topology.drain(name)
-                self._close()
+                self._vacate_closed_workers()
             case WorkerLost(name=name):
                 zone.topology.lose(name)
-                self._close()
+                self._vacate_closed_workers()
             case TeamsChanged(teams=teams):
                 zone.set_teams(teams)
                 zone.topology.touch()
@@ -104,7 +105,7 @@
                 zone.set_config(config)
                 zone.topology.touch()
 
-    def _queue(self, request: PendingRequest, now_ms: int) -> list[Decision]:
+    def _enqueue(self, request: PendingRequest, now_ms: int) -> list[Decision]:
         if request.request_id in self.zone.topology.allocations:
             return []
         decisions = self._admission.admit(request, now_ms)
@@ -142,16 +143,16 @@
             self.zone.health.forget(event.request_id)
         self.zone.health.probe_ended(event.request_id, now_ms)
         for change in changes:
-            self._apply(change)
+            self._apply_quarantine(change)
         return list(changes)
 
-    def _apply(self, change: Quarantine) -> None:
+    def _apply_quarantine(self, change: Quarantine) -> None:
         state = self.zone.topology.workers.get(change.worker)
         if state is None:
             return
         state.quarantined = not change.lifted
         self.zone.topology.touch()
-        self._close()
+        self._vacate_closed_workers()
 
     def _join(self, worker: Worker) -> None:
         if not self.zone.topology.join(worker):
@@ -159,10 +160,10 @@
         state = self.zone.topology.workers[worker.name]
         state.quarantined = self.zone.health.is_quarantined(worker.name)
         if worker.accelerators:
-            self._close()
+            self._vacate_closed_workers()
 
-    def _close(self) -> None:
-        """Move cells and claims off workers that take no new work."""
+    def _vacate_closed_workers(self) -> None:
+        """Move cells off workers that accept no new work, and requeue the requests of claims there."""
         self.zone.layout.refresh()
         for claim in self.zone.claims.broken():
             self.zone.claims.remove(claim.request_id)
@@ -172,22 +173,22 @@
     def _is_pass_due(self, now_ms: int) -> bool:
         if not len(self.zone.queue):
             return False
-        changed = self.zone.topology.version != self._passed_version
-        return changed or self._unfinished or now_ms - self._passed_ms >= PASS_GAP_MS
-
-    def _pass(self, now_ms: int) -> list[Decision]:
-        self._passed_version = self.zone.topology.version
-        self._passed_ms = now_ms
-        decisions = self._starter.run(now_ms)
-        self._unfinished = bool(decisions)
+        changed = self.zone.topology.version != self._last_pass_version
+        return changed or self._is_unfinished or now_ms - self._last_pass_ms >= PASS_INTERVAL_MS
+
+    def _run_pass(self, now_ms: int) -> list[Decision]:
+        self._last_pass_version = self.zone.topology.version
+        self._last_pass_ms = now_ms
+        decisions = self._starter.run_pass(now_ms)
+        self._is_unfinished = bool(decisions)
         return decisions
 
-    def _risks(self) -> list[Decision]:
+    def _guarantee_risks(self) -> list[Decision]:
         missing = self.zone.layout.missing()
         if missing == self._at_risk:
             return []
         self._at_risk = missing
-        detail = "the workers left cannot hold all guaranteed shapes at once; add workers"
+        detail = "the remaining workers cannot hold all guaranteed shapes at once; add workers"
         if not missing:
-            detail = "all guaranteed shapes can be laid out again"
+            detail = "the workers can hold all guaranteed shapes again"
         return [GuaranteeAtRisk(missing, detail)]
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
@@ -1,7 +1,7 @@
-"""One pass over the queue: start what fits, and take back what is owed.
+"""One pass over the queue: start the requests that fit and preempt work for those that may.
 
-Urgent work goes first, then the teams by fair share. A pass tries a bounded number of groups; those
-that it leaves come first in the next one.
+Urgent requests come first, then the teams by fair share. A pass tries a bounded number of groups;
+groups that it does not reach come first in the next pass.
 """
 
 from math import log10
@@ -10,47 +10,47 @@
 from agateferry_scheduling.placement.first_fit import Counts
 from agateferry_scheduling.placement.stranding import rack_group, stranded_by
 from agateferry_scheduling.queueing import Group, is_large
-from agateferry_scheduling.scheduler.finder import Finder, backing_of
+from agateferry_scheduling.scheduler.finder import PlacementFinder, kind_outside_cells
 from agateferry_scheduling.scheduler.messages import Decision, PendingRequest, Start
-from agateferry_scheduling.scheduler.reclaiming import Reclaimer, may_use_cells
+from agateferry_scheduling.scheduler.preempting import Preemptor, may_use_cells
 from agateferry_scheduling.scheduler.reserving import Reserver
 from agateferry_scheduling.scheduler.zone import ZoneState
 from agateferry_scheduling.topology import Backing
 
-GROUPS_PER_PASS = 24
-GROUPS_RANKED = 64
-STARTS_PER_GROUP = 4
-STARTS_PER_PASS = 32
-ROUNDS_PER_PASS = 6
-RECLAIM_RETRY_MS = 1_000
-AGED_RETRY_MS = 10_000
-PATIENCE_MS = 300_000
-SIZE_RANK = 1.0
+MAX_GROUPS_PER_PASS = 24
+MAX_GROUPS_RANKED = 64
+MAX_STARTS_PER_GROUP = 4
+MAX_STARTS_PER_PASS = 32
+MAX_ROUNDS_PER_PASS = 6
+PREEMPTION_RETRY_MS = 1_000
+AGED_PREEMPTION_RETRY_MS = 10_000
+MAX_COMPACT_PLACEMENT_WAIT_MS = 300_000
+RUN_TIME_RANK_WEIGHT = 1.0
 
 
 class Starter:
-    """Decide what starts now and what is stopped for it."""
+    """Decide which requests start now and what is preempted for them."""
 
-    def __init__(self, zone: ZoneState, finder: Finder, reclaimer: Reclaimer) -> None:
+    def __init__(self, zone: ZoneState, finder: PlacementFinder, preemptor: Preemptor) -> None:
         self._zone = zone
-        self._find = finder
-        self._reclaimer = reclaimer
-        self._reserver = Reserver(zone, reclaimer)
-
-    def run(self, now_ms: int) -> list[Decision]:
-        """Try waiting groups, urgent ones first."""
-        decisions = self._run_tier(self._candidates(True, now_ms), now_ms)
-        groups = self._candidates(False, now_ms)
+        self._finder = finder
+        self._preemptor = preemptor
+        self._reserver = Reserver(zone, preemptor)
+
+    def run_pass(self, now_ms: int) -> list[Decision]:
+        """Try to start waiting groups, urgent ones first."""
+        decisions = self._run_tier(self._candidate_groups(True, now_ms), now_ms)
+        groups = self._candidate_groups(False, now_ms)
         decisions += self._probe(groups, now_ms)
         decisions += self._run_tier(groups, now_ms)
         decisions += self._reserver.serve(now_ms)
         return decisions
 
     def try_group(self, group: Group, now_ms: int, limit: int) -> list[Decision]:
-        """Start requests of a group until one finds no place."""
+        """Start requests of a group until one cannot be placed or the limit is reached."""
         decisions: list[Decision] = []
         while group.requests and len(decisions) < limit:
-            found = self._try(group, group.head(), now_ms)
+            found = self._try_request(group, group.head(), now_ms)
             if not found:
                 break
             decisions += found
@@ -58,74 +58,80 @@
 
     def _run_tier(self, groups: list[Group], now_ms: int) -> list[Decision]:
         decisions: list[Decision] = []
-        for _ in range(ROUNDS_PER_PASS):
+        for _ in range(MAX_ROUNDS_PER_PASS):
             started = 0
             for group in groups:
                 if group.requests and group.tried_ms != now_ms:
-                    found = self.try_group(group, now_ms, STARTS_PER_GROUP)
+                    found = self.try_group(group, now_ms, MAX_STARTS_PER_GROUP)
                     started += len(found)
                     decisions += found
-                    if len(decisions) >= STARTS_PER_PASS:
+                    if len(decisions) >= MAX_STARTS_PER_PASS:
                         return decisions
             if not started:
                 break
         return decisions
 
-    def _candidates(self, urgent: bool, now_ms: int) -> list[Group]:
+    def _candidate_groups(self, urgent: bool, now_ms: int) -> list[Group]:
         teams = self._zone.queue.by_team[urgent]
         accelerators, slots = self._zone.topology.accelerators, self._zone.topology.slots
-        limit = GROUPS_RANKED // max(len(teams), 1)
+        limit = MAX_GROUPS_RANKED // max(len(teams), 1)
         ranked: list[tuple[float, int, Group]] = []
         for team in list(teams):
             share = self._zone.shares.share(team, accelerators, slots)
             for group in self._zone.queue.next_groups(urgent, team, limit):
                 head = group.head()
                 rank = self._zone.shares.rank(share, now_ms - head.submitted_ms)
-                rank += self._size_rank(head)
+                rank += self._run_time_rank(head)
                 group.tried_ms = -1
                 ranked.append((rank, len(ranked), group))
         ranked.sort()
-        return [group for _, _, group in ranked[:GROUPS_PER_PASS]]
+        return [group for _, _, group in ranked[:MAX_GROUPS_PER_PASS]]
 
-    def _size_rank(self, request: PendingRequest) -> float:
-        """Let short requests go first, the more so the more completion time weighs."""
+    def _run_time_rank(self, request: PendingRequest) -> float:
+        """Rank short requests first, in proportion to the weight of completion time."""
         likely_ms = self._zone.estimates.likely_ms(request)
-        return self._zone.config.weights.completion_time * SIZE_RANK * log10(likely_ms + 1)
+        return (
+            self._zone.config.weights.completion_time * RUN_TIME_RANK_WEIGHT * log10(likely_ms + 1)
+        )
 
-    def _try(self, group: Group, request: PendingRequest, now_ms: int) -> list[Decision]:
-        found = self._start_now(group, request, now_ms)
+    def _try_request(self, group: Group, request: PendingRequest, now_ms: int) -> list[Decision]:
+        found = self._start_without_preemption(group, request, now_ms)
         if not found:
-            found = self._take_back(group, request, now_ms)
+            found = self._preempt(group, request, now_ms)
         if not found:
             group.tried_ms = now_ms
         return found
 
-    def _start_now(self, group: Group, request: PendingRequest, now_ms: int) -> list[Decision]:
-        cells = self._search_cells(group, request)
-        if cells is not None and not request.preemptible:
-            return [self._start(request, cells, Backing.GUARANTEED, now_ms)]
+    def _start_without_preemption(
+        self, group: Group, request: PendingRequest, now_ms: int
+    ) -> list[Decision]:
+        in_cells = self._search_cells(group, request)
+        if in_cells is not None and not request.preemptible:
+            return [self._start(request, in_cells, Backing.GUARANTEED, now_ms)]
         free = self._search_free(group, request, now_ms)
-        if cells is not None and (free is None or not self._find.is_cheaper(request, free, cells)):
-            return [self._start(request, cells, Backing.GUARANTEED, now_ms)]
+        if in_cells is not None and (
+            free is None or not self._finder.is_cheaper(request, free, in_cells)
+        ):
+            return [self._start(request, in_cells, Backing.GUARANTEED, now_ms)]
         if free is None:
             return []
-        if self._is_patient(request, free, now_ms):
-            group.waits_for = "a place that leaves other free accelerators together"
+        if self._waits_for_compact_placement(request, free, now_ms):
+            group.waits_for = "a placement that leaves no free accelerators stranded"
             return []
-        return [self._start_free(request, free, now_ms)]
+        return [self._start_on_free(request, free, now_ms)]
 
-    def _start_free(self, request: PendingRequest, free: Counts, now_ms: int) -> Decision:
+    def _start_on_free(self, request: PendingRequest, free: Counts, now_ms: int) -> Decision:
         """Start on free workers, within the team's cells if these can be moved there."""
-        if request.demand.accelerators > 0 and self._find.cover(request, free):
+        if request.demand.accelerators > 0 and self._finder.cover_with_cells(request, free):
             return self._start(request, free, Backing.GUARANTEED, now_ms)
         if is_large(request) and may_use_cells(self._zone, request):
-            cells = self._find.within_cells(request)
-            if cells is not None:
-                return self._start(request, cells, Backing.GUARANTEED, now_ms)
-        return self._start(request, free, backing_of(request), now_ms)
+            in_cells = self._finder.find_in_cells(request)
+            if in_cells is not None:
+                return self._start(request, in_cells, Backing.GUARANTEED, now_ms)
+        return self._start(request, free, kind_outside_cells(request), now_ms)
 
     def _search_cells(self, group: Group, request: PendingRequest) -> Counts | None:
-        """Look within the team's cells, unless nothing changed there since the last search."""
+        """Search the team's cells, unless nothing was freed there since the last search."""
         if not may_use_cells(self._zone, request):
             return None
         freed = self._zone.topology.freed.since(group.searched) if group.searched >= 0 else None
@@ -133,25 +139,25 @@
             own = self._zone.layout.team_laid[request.team]
             if not any(name in own for name in freed):
                 return None
-        return self._find.within_cells(request)
+        return self._finder.find_in_cells(request)
 
     def _search_free(self, group: Group, request: PendingRequest, now_ms: int) -> Counts | None:
-        if self._find.eats_headroom(request):
-            group.waits_for = "slots that are not kept for urgent work"
+        if self._finder.uses_urgent_headroom(request):
+            group.waits_for = "slots beyond those kept free for urgent work"
             return None
-        free = self._find.free(request, now_ms, group.searched)
+        free = self._finder.find_free(request, now_ms, group.searched)
         if free is None:
             group.searched = self._zone.topology.freed.mark()
             where = "" if request.preemptible else " outside the guarantees of other teams"
-            group.waits_for = f"{_wanted(request)} free at the same time{where}"
+            group.waits_for = f"{_describe_demand(request)} free at the same time{where}"
         return free
 
-    def _take_back(self, group: Group, request: PendingRequest, now_ms: int) -> list[Decision]:
-        in_haste = request.urgency is Urgency.URGENT or may_use_cells(self._zone, request)
-        retry_ms = RECLAIM_RETRY_MS if in_haste else AGED_RETRY_MS
+    def _preempt(self, group: Group, request: PendingRequest, now_ms: int) -> list[Decision]:
+        is_time_critical = request.urgency is Urgency.URGENT or may_use_cells(self._zone, request)
+        retry_ms = PREEMPTION_RETRY_MS if is_time_critical else AGED_PREEMPTION_RETRY_MS
         if group.reclaim_tried_ms >= 0 and now_ms - group.reclaim_tried_ms < retry_ms:
             return []
-        found = self._reclaimer.take_back(request, now_ms)
+        found = self._preemptor.preempt_for(request, now_ms)
         group.reclaim_tried_ms = -1 if found else now_ms
         return found
 
@@ -174,23 +180,28 @@
     ) -> Decision:
         self._zone.queue.remove(request.request_id)
         allocation = self._zone.place(request, counts, backing, now_ms, pending=False)
-        self._zone.note_start(request.team, now_ms)
+        self._zone.record_start(request.team, now_ms)
         return Start(request.request_id, allocation.assignments)
 
-    def _is_patient(self, request: PendingRequest, counts: Counts, now_ms: int) -> bool:
-        """Let work wait a while for a place that strands nothing, where fragmentation weighs."""
+    def _waits_for_compact_placement(
+        self, request: PendingRequest, counts: Counts, now_ms: int
+    ) -> bool:
+        """Tell whether a request still waits for a placement that strands no accelerators.
+
+        The longest wait grows with the square of the weight of fragmentation.
+        """
         weight = self._zone.config.weights.fragmentation
         if request.urgency is Urgency.URGENT or not request.demand.accelerators:
             return False
         likely_ms = self._zone.estimates.likely_ms(request)
-        patience_ms = weight * weight * min(PATIENCE_MS, likely_ms)
-        if now_ms - request.submitted_ms >= patience_ms:
+        max_wait_ms = weight * weight * min(MAX_COMPACT_PLACEMENT_WAIT_MS, likely_ms)
+        if now_ms - request.submitted_ms >= max_wait_ms:
             return False
         topology, layout = self._zone.topology, self._zone.layout
         return stranded_by(topology, request.demand, counts, rack_group(layout)) > 0
 
 
-def _wanted(request: PendingRequest) -> str:
+def _describe_demand(request: PendingRequest) -> str:
     demand = request.demand
     each = f"{demand.accelerators} accelerators, {demand.cpu_cores} cores, {demand.memory_mb} MB"
     return f"{demand.members} x ({each}, adjacency {demand.adjacency})"
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
@@ -43,7 +43,7 @@
     def test_a_team_takes_back_its_shape_within_the_bound(self):
         preempts = of_type(self.reclaim(), Preempt)
         self.assertEqual(8, len(preempts))
-        self.assertTrue(all(p.by_ms <= 10_000 + 30_000 for p in preempts))
+        self.assertTrue(all(p.stop_by_ms <= 10_000 + 30_000 for p in preempts))
         for preempt in preempts[:-1]:
             ended = RequestEnded(preempt.request_id, EndReason.PREEMPTED, 10_000)
             self.assertEqual([], started(self.scheduler.step(ended, 12_000)))
@@ -108,7 +108,7 @@
         urgent = request("u", "b", Urgency.URGENT, now_ms, accelerators=1)
         [preempt] = of_type(queue(scheduler, urgent, now_ms), Preempt)
         self.assertEqual("a3", preempt.request_id)
-        self.assertTrue(preempt.by_ms <= now_ms + 3_600)
+        self.assertTrue(preempt.stop_by_ms <= now_ms + 3_600)
         ended = RequestEnded("a3", EndReason.PREEMPTED, 1)
         self.assertEqual(["u"], started(scheduler.step(ended, now_ms + 2_000)))
 
@@ -134,7 +134,7 @@
             )
             for number in range(ms * self.PER_MS, min((ms + 1) * self.PER_MS, self.WAVE)):
                 decisions += scheduler.step(RequestWithdrawn(f"a{number}"), ms)
-            preempted |= {p.request_id: p.by_ms for p in of_type(decisions, Preempt)}
+            preempted |= {p.request_id: p.stop_by_ms for p in of_type(decisions, Preempt)}
             for name in [name for name, by_ms in preempted.items() if by_ms <= ms]:
                 del preempted[name]
                 decisions += scheduler.step(RequestEnded(name, EndReason.PREEMPTED, ms), ms)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
@@ -1,4 +1,4 @@
-"""What a scheduler knows of its zone: the state of every slice, changed together."""
+"""The scheduling state of a zone."""
 
 from collections import deque
 from dataclasses import replace
@@ -15,11 +15,11 @@
 from agateferry_scheduling.scheduler.messages import PendingRequest, SchedulingConfig, Team
 from agateferry_scheduling.topology import Allocation, Backing, Topology
 
-STARTS_REMEMBERED = 16
+MAX_RECENT_STARTS = 16
 
 
 class ZoneState:
-    """Hold the slices' state and make the changes that concern several of them."""
+    """Hold the state of all parts of a scheduler and make the changes that concern several parts."""
 
     def __init__(self, zone: str, config: SchedulingConfig) -> None:
         self.config = config
@@ -33,44 +33,46 @@
         self.claims = Claims(self.topology)
         self.reservation: Reservation | None = None
         self.adopting = False
-        self.starts: dict[str, deque[int]] = {}
+        self.recent_starts_ms: dict[str, deque[int]] = {}
 
     def set_teams(self, teams: tuple[Team, ...]) -> None:
-        """Take over the whole list of teams."""
+        """Replace the list of teams."""
         self.teams = {team.name: team for team in teams}
         self.shares.weights = {team.name: team.weight for team in teams}
         self.layout.set_teams(teams)
 
     def set_config(self, config: SchedulingConfig) -> None:
-        """Take over a new configuration."""
+        """Replace the configuration."""
         self.config = config
         self.health.config = config
 
     def place(
         self, request: PendingRequest, counts: Counts, backing: Backing, now_ms: int, pending: bool
     ) -> Allocation:
-        """Count a request as placed from now on."""
+        """Allocate workers to a request; `pending` if other work must stop first."""
         assignments = assignments_of(request.demand, counts)
         allocation = Allocation(request, assignments, now_ms, backing, pending=pending)
-        self.put(allocation)
+        self.add_allocation(allocation)
         return allocation
 
-    def held_place(self, request: PendingRequest, counts: Counts, now_ms: int) -> Allocation:
-        """Keep others off the place that a request moves to."""
-        held = replace(request, request_id=f"{request.request_id} moving")
+    def reserve_move_target(
+        self, request: PendingRequest, counts: Counts, now_ms: int
+    ) -> Allocation:
+        """Reserve the workers that a running request moves to."""
+        target = replace(request, request_id=f"{request.request_id} moving")
         assignments = assignments_of(request.demand, counts)
-        allocation = Allocation(held, assignments, now_ms, Backing.BORROWED, pending=True)
+        allocation = Allocation(target, assignments, now_ms, Backing.BORROWED, pending=True)
         self.topology.allocate(allocation)
         return allocation
 
-    def put(self, allocation: Allocation) -> None:
-        """Count an allocation in."""
+    def add_allocation(self, allocation: Allocation) -> None:
+        """Add an allocation."""
         self.topology.allocate(allocation)
         self.layout.charge(allocation, 1)
         self.shares.change(allocation.request.team, allocation.request.demand, 1)
 
     def release(self, request_id: str) -> Allocation | None:
-        """Count an allocation out; return None when it is not known."""
+        """Remove an allocation; return None if it is unknown."""
         allocation = self.topology.release(request_id)
         if allocation is None:
             return None
@@ -81,23 +83,23 @@
     def adopt(
         self, request: PendingRequest, assignments: tuple[Assignment, ...], started_ms: int
     ) -> None:
-        """Count a request in that was started before this scheduler began."""
+        """Add a request that was already running when this scheduler started."""
         backing = Backing.BORROWED if request.preemptible else Backing.PINNED
-        self.put(Allocation(request, assignments, started_ms, backing))
+        self.add_allocation(Allocation(request, assignments, started_ms, backing))
         self.adopting = True
 
-    def settle_adopted(self) -> None:
-        """Lay the guarantees around all that was adopted, once no more of it comes."""
+    def finish_adoption(self) -> None:
+        """Lay out the guarantees around the adopted requests, once all of them are known."""
         if self.adopting:
             self.adopting = False
             self.layout.adopt_all()
 
-    def note_start(self, team: str, now_ms: int) -> None:
-        """Remember the times of a team's latest starts."""
-        times = self.starts.setdefault(team, deque(maxlen=STARTS_REMEMBERED))
+    def record_start(self, team: str, now_ms: int) -> None:
+        """Record the time of a start of a team's request."""
+        times = self.recent_starts_ms.setdefault(team, deque(maxlen=MAX_RECENT_STARTS))
         times.append(now_ms)
 
-    def start_gap_ms(self, team: str, now_ms: int) -> int:
-        """Return how long one start of the team took of late; 0 when none is known."""
-        times = self.starts.get(team)
+    def mean_start_interval_ms(self, team: str, now_ms: int) -> int:
+        """Return the mean interval between the team's recent starts; 0 if there is none."""
+        times = self.recent_starts_ms.get(team)
         return (now_ms - times[0]) // len(times) if times else 0
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/replay.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/replay.py
@@ -295,7 +295,7 @@
         match decision:
             case Start():
                 self._start(decision)
-            case Preempt(request_id=request_id, by_ms=by_ms):
+            case Preempt(request_id=request_id, stop_by_ms=by_ms):
                 self._preempt(request_id, by_ms)
             case Reject(request_id=request_id, reason=reason):
                 self.meter.refused(request_id, reason.value)
