--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/explaining.py
@@ -1,4 +1,4 @@
-"""Explain the state of a request to its owner or an operator."""
+"""Explain the state of a request to operators."""
 
 from agateferry_scheduling.scheduler.messages import Explanation, PendingRequest
 from agateferry_scheduling.scheduler.zone import ZoneState
@@ -36,7 +36,7 @@
     likely_ms = zone.estimates.likely_ms(request)
     details = [
         f"waits for {now_ms - request.submitted_ms} ms",
-        f"{position} identical requests are queued before it",
+        f"{position} similar requests are queued before it",
         f"weighted share of team {request.team}: {team_share:.3f}",
         f"likely run time {likely_ms} ms, declared {request.declared_run_ms} ms",
     ]
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/preempting.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/preempting.py
@@ -11,7 +11,7 @@
 from agateferry_scheduling.topology import Allocation, Backing
 
 TIME_SLICE_MS = 30 * 60_000
-MAX_CPU_WORKERS_COMPARED = 48
+MAX_WORKERS_FOR_CPU_DEMAND = 48
 URGENT_START_MARGIN_MS = 300
 
 
@@ -66,8 +66,8 @@
         estimates = self._zone.estimates
 
         def allowed(allocation: Allocation) -> bool:
-            likely_ms = estimates.at_most_ms(allocation.request)
-            overrun = now_ms - allocation.started_ms > likely_ms
+            run_ms = estimates.at_most_ms(allocation.request)
+            overrun = now_ms - allocation.started_ms > run_ms
             return overrun and allocation.started_ms > request.submitted_ms
 
         found = self._finder.find_preemption(request, sorted(names), allowed, now_ms)
@@ -90,8 +90,8 @@
             return _is_not_urgent(allocation) and (had_short_wait or had_time_slice)
 
         topology = self._zone.topology
-        accelerated = request.demand.accelerators > 0
-        names = list(topology.index.accelerated if accelerated else topology.workers)
+        needs_accelerators = request.demand.accelerators > 0
+        names = list(topology.index.accelerated if needs_accelerators else topology.workers)
         found = self._finder.find_preemption(request, names, allowed, now_ms)
         if found is None:
             return []
@@ -125,11 +125,14 @@
     def _workers_with_borrowed_work(self, request: PendingRequest) -> list[str]:
         """Return workers that run borrowed work, those without accelerators first."""
         topology = self._zone.topology
-        wanted = request.demand.accelerators > 0
-        pool = topology.index.accelerated if wanted else topology.workers
+        needs_accelerators = request.demand.accelerators > 0
+        pool = topology.index.accelerated if needs_accelerators else topology.workers
         states = [w for w in pool.values() if w.borrowed.slots > 0 and w.is_open()]
         states.sort(key=lambda w: (w.worker.accelerators, -w.borrowed.slots, w.number))
-        return [state.name for state in (states if wanted else states[:MAX_CPU_WORKERS_COMPARED])]
+        return [
+            state.name
+            for state in (states if needs_accelerators else states[:MAX_WORKERS_FOR_CPU_DEMAND])
+        ]
 
 
 def may_use_cells(zone: ZoneState, request: PendingRequest) -> bool:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
@@ -163,7 +163,7 @@
             self._vacate_closed_workers()
 
     def _vacate_closed_workers(self) -> None:
-        """Move cells off workers that accept no new work, and requeue the requests of claims there."""
+        """Move cells off workers that accept no new work, and requeue requests claiming them."""
         self.zone.layout.refresh()
         for claim in self.zone.claims.broken():
             self.zone.claims.remove(claim.request_id)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
@@ -43,7 +43,7 @@
         groups = self._candidate_groups(False, now_ms)
         decisions += self._probe(groups, now_ms)
         decisions += self._run_tier(groups, now_ms)
-        decisions += self._reserver.serve(now_ms)
+        decisions += self._reserver.update(now_ms)
         return decisions
 
     def try_group(self, group: Group, now_ms: int, limit: int) -> list[Decision]:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/zone.py
@@ -19,7 +19,7 @@
 
 
 class ZoneState:
-    """Hold the state of all parts of a scheduler and make the changes that concern several parts."""
+    """Hold the state of all parts of a scheduler, and make changes that affect several of them."""
 
     def __init__(self, zone: str, config: SchedulingConfig) -> None:
         self.config = config
@@ -59,9 +59,9 @@
         self, request: PendingRequest, counts: Counts, now_ms: int
     ) -> Allocation:
         """Reserve the workers that a running request moves to."""
-        target = replace(request, request_id=f"{request.request_id} moving")
+        placeholder = replace(request, request_id=f"{request.request_id} moving")
         assignments = assignments_of(request.demand, counts)
-        allocation = Allocation(target, assignments, now_ms, Backing.BORROWED, pending=True)
+        allocation = Allocation(placeholder, assignments, now_ms, Backing.BORROWED, pending=True)
         self.topology.allocate(allocation)
         return allocation
 
