--- a/packages/agateferry-scheduling/agateferry_scheduling/estimates/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/estimates/__init__.py
@@ -1,4 +1,4 @@
-"""How long work really runs, learned from what it declared."""
+"""Run time estimates, learned from declared and actual run times."""
 
 from agateferry_scheduling.estimates.estimates import Estimates
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/measure.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/measure.py
@@ -1,8 +1,8 @@
-"""Measure the fair policy against the baseline and print a row for each figure.
+"""Compare the fair policy with the baseline and print a row for each figure.
 
 `python -m agateferry_scheduling.measure [FOLDER]` prints rows of the form
-`measure TRACE METRIC ours=X baseline=Y target=Z unit`, then how the time of a step grows, and puts
-one picture into FOLDER, docs/img by default.
+`measure TRACE METRIC ours=X baseline=Y target=Z unit`, then the time of a step and the
+memory of a scheduler by zone size, and writes one picture to FOLDER, docs/img by default.
 """
 
 import sys
@@ -22,31 +22,31 @@
 from agateferry_scheduling.traces.replay import Policy, replay
 from agateferry_scheduling.traces.report import Report
 
-SIZES = (1, 2, 4, 8)
+ZONE_SIZES = (1, 2, 4, 8)
 STEPS = 6_000
 STEP_P99_TARGET_US = 5_000
 SEEDS = (11, 12, 13, 14)
 LOADS = (1.0, 1.6)
-PICTURED = "small-burst"
+PICTURED_TRACE = "small-burst"
 
 
 def main() -> None:
-    """Print all rows and draw the picture."""
+    """Print all rows and write the picture."""
     folder = Path(sys.argv[1] if len(sys.argv) > 1 else "docs/img")
     for trace in samples():
         _measure_trace(trace, folder)
     for load in LOADS:
         _measure_weights("board-day", BOARD.weights, SALT.weights, load)
         _measure_weights("salt-day", SALT.weights, BOARD.weights, load)
-    for size in SIZES:
+    for size in ZONE_SIZES:
         _measure_growth(size)
-    for size in SIZES[:3]:
-        used = measure_memory(size) // 1_000
-        _show(f"measure memory-{size}x state ours={used} baseline=none target=none kB")
+    for size in ZONE_SIZES[:3]:
+        used_kb = measure_memory(size) // 1_000
+        _print_line(f"measure memory-{size}x state ours={used_kb} baseline=none target=none kB")
 
 
-def row_of(trace: str, row: Comparison) -> str:
-    """Return the printed form of a comparison, and whether it misses its target."""
+def format_row(trace: str, row: Comparison) -> str:
+    """Return the printed row of a comparison, marked if it misses its target."""
     text = f"measure {trace} {row.metric} ours={row.ours:g} baseline={row.baseline:g}"
     verdict = "" if row.is_met() else " MISSED"
     return f"{text} target={row.target:g} {row.unit}{verdict}"
@@ -57,20 +57,20 @@
     baseline = replay(trace, Policy.BASELINE)
     outcomes = read_outcomes(trace)
     for row in compare(outcomes, ours, baseline):
-        _show(row_of(trace.stem, row))
-    for line in _others(ours, baseline):
-        _show(line)
+        _print_line(format_row(trace.stem, row))
+    for line in _rows_without_target(ours, baseline):
+        _print_line(line)
     for fault in faults(outcomes, ours):
-        _show(f"fault {trace.stem} {fault}")
-    if trace.stem == PICTURED:
+        _print_line(f"fault {trace.stem} {fault}")
+    if trace.stem == PICTURED_TRACE:
         folder.mkdir(parents=True, exist_ok=True)
-        drawn = draw(ours, folder / f"{PICTURED}.svg", baseline)
-        if drawn.is_error():
-            _show(f"no picture: {drawn.error}")
+        drawing = draw(ours, folder / f"{PICTURED_TRACE}.svg", baseline)
+        if drawing.is_error():
+            _print_line(f"no picture: {drawing.error}")
 
 
-def _others(ours: Report, baseline: Report) -> list[str]:
-    """Return the rows that have no target."""
+def _rows_without_target(ours: Report, baseline: Report) -> list[str]:
+    """Return the rows of the figures that have no target."""
     rows = [
         ("fragmentation-all", ours.fragmentation_pct, baseline.fragmentation_pct, "%"),
         ("small-urgent-p99-all", ours.small_urgent.p99_ms, baseline.small_urgent.p99_ms, "ms"),
@@ -92,8 +92,8 @@
 
 
 def _measure_weights(name: str, own: PolicyWeights, other: PolicyWeights, load: float) -> None:
-    """Compare a deployment's score under its own weights with that under the other's."""
-    ours, theirs, base = 0.0, 0.0, 0.0
+    """Compare a deployment's score under its own policy weights with that under the other's."""
+    ours, theirs, baseline_score = 0.0, 0.0, 0.0
     for seed in SEEDS:
         records = MAKERS[name](seed, load)
         scores = [
@@ -106,9 +106,9 @@
         ]
         ours += scores[0] / len(SEEDS)
         theirs += scores[1] / len(SEEDS)
-        base += scores[2] / len(SEEDS)
-    row = Comparison(f"score-load-{load:g}", ours, base, theirs, "score")
-    _show(row_of(name, row))
+        baseline_score += scores[2] / len(SEEDS)
+    row = Comparison(f"score-load-{load:g}", ours, baseline_score, theirs, "score")
+    _print_line(format_row(name, row))
 
 
 def _measure_growth(size: int) -> None:
@@ -118,10 +118,10 @@
     missed = " MISSED" if size == 1 and times.p99_us > STEP_P99_TARGET_US else ""
     detail = f"workers={times.workers} running={times.running} median={times.median_us}"
     detail += f" worst={times.worst_us} p99-cpu={times.p99_cpu_us} mean-cpu={times.mean_cpu_us}"
-    _show(f"{row} target={target} us {detail}{missed}")
+    _print_line(f"{row} target={target} us {detail}{missed}")
 
 
-def _show(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_baseline.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_baseline.py
@@ -45,7 +45,7 @@
         decisions = self.queue(request("b", members=2, accelerators=4, adjacency=Adjacency.WORKER))
         self.assertEqual([["w2", "w2"]], self.workers_of(decisions))
 
-    def test_an_older_request_that_does_not_fit_holds_up_the_queue(self):
+    def test_an_older_request_that_does_not_fit_blocks_the_queue(self):
         self.queue(request("a", accelerators=1))
         gang = request("b", members=2, accelerators=8, adjacency=Adjacency.RACK)
         self.assertEqual([], self.queue(gang))
@@ -53,7 +53,7 @@
         ended = self.scheduler.step(RequestEnded("a", EndReason.FINISHED, 5), 5)
         self.assertEqual([["w1", "w2"], ["w1"]], self.workers_of(ended))
 
-    def test_what_can_never_run_is_rejected_at_once(self):
+    def test_an_infeasible_request_is_rejected_at_once(self):
         [reject] = self.queue(request("a", accelerators=9))
         self.assertEqual(RejectReason.INFEASIBLE, reject.reason)
         [reject] = self.queue(request("b", team="nobody"))
@@ -66,7 +66,7 @@
         self.scheduler.step(RequestWithdrawn("b"), 1)
         self.assertEqual([], self.scheduler.step(RequestEnded("a", EndReason.FINISHED, 5), 5))
 
-    def test_a_lost_worker_takes_no_work(self):
+    def test_a_lost_worker_gets_no_work(self):
         self.scheduler.step(WorkerLost("w1"), 1)
         self.assertEqual([["w2"]], self.workers_of(self.queue(request("a"))))
         self.assertEqual("running", self.scheduler.explain("a", 1).state)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_invariants.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_invariants.py
@@ -54,15 +54,15 @@
 steps = st.lists(st.one_of(submissions, submissions, submissions, others), max_size=40)
 
 
-def records_of(plan):
+def make_records(plan):
     records = [TeamsSet(0, TEAMS), *(WorkerUp(0, worker(n)) for n in range(WORKERS))]
     for number, step in enumerate(plan):
         at_ms = (number + 1) * 2_000
-        records.append(record_of(step, at_ms, number))
+        records.append(make_record(step, at_ms, number))
     return records
 
 
-def record_of(step, at_ms, number):
+def make_record(step, at_ms, number):
     match step:
         case ("submit", name, demand, urgency, preemptible, checkpointable, run_s):
             pending = PendingRequest(
@@ -80,8 +80,8 @@
             return WorkerUp(at_ms, worker(which % WORKERS))
 
 
-def crowded(team, preemptible=False):
-    """Submit whole workers' work of one team until nothing that it may use is left."""
+def submit_whole_workers(team, preemptible=False):
+    """Submit requests for whole workers of one team, more than there are workers."""
     demand = Demand(1, 8, 1, 500)
     step = ("submit", team, demand, Urgency.NORMAL, preemptible, False, 500)
     return [step] * 8
@@ -92,33 +92,33 @@
     @settings(max_examples=120, deadline=None, database=None)
     @given(steps)
     def test_guarantees_gangs_and_capacity_hold_after_every_step(self, plan):
-        report = replay(records_of(plan), Policy.FAIR)
+        report = replay(make_records(plan), Policy.FAIR)
         self.assertIs(None, report.broken)
 
     @seed(3)
     @settings(max_examples=120, deadline=None, database=None)
     @given(st.lists(submissions, max_size=40))
-    def test_a_team_takes_back_what_it_is_promised_within_the_bound(self, plan):
-        report = replay(records_of(plan), Policy.FAIR)
+    def test_a_team_reclaims_its_guarantee_within_the_bound(self, plan):
+        report = replay(make_records(plan), Policy.FAIR)
         self.assertEqual((None, 0), (report.broken, report.reclaims_late))
 
     @seed(2)
     @settings(max_examples=60, deadline=None, database=None)
     @given(steps)
-    def test_the_baseline_keeps_gangs_and_capacity(self, plan):
-        self.assertIs(None, replay(records_of(plan), Policy.BASELINE).broken)
+    def test_the_baseline_keeps_gangs_whole_and_workers_within_capacity(self, plan):
+        self.assertIs(None, replay(make_records(plan), Policy.BASELINE).broken)
 
 
 class PlantedFaultTests(testtools.TestCase):
-    def test_pinned_work_within_guarantees_is_found(self):
-        def all_free(layout, state):
+    def test_pinned_work_within_guarantees_is_detected(self):
+        def everything_free(layout, state):
             return state.free()
 
-        with mock.patch.object(Layout, "slack", all_free):
-            report = replay(records_of(crowded("d")), Policy.FAIR)
+        with mock.patch.object(Layout, "slack", everything_free):
+            report = replay(make_records(submit_whole_workers("d")), Policy.FAIR)
         self.assertIn("overlap", report.broken)
 
-    def test_a_gang_that_starts_in_part_is_found(self):
+    def test_a_gang_that_starts_in_part_is_detected(self):
         whole = choice.choose
 
         def in_part(candidates, demand):
@@ -127,13 +127,13 @@
 
         gang = ("submit", "d", Demand(2, 8, 1, 500), Urgency.NORMAL, True, False, 5)
         with mock.patch.object(finder, "choose", in_part):
-            report = replay(records_of([gang]), Policy.FAIR)
+            report = replay(make_records([gang]), Policy.FAIR)
         self.assertIn("starts with members [0]", report.broken)
 
-    def test_a_worker_over_its_capacity_is_found(self):
-        def forgetful(topology, allocation):
+    def test_a_worker_over_its_capacity_is_detected(self):
+        def allocate_without_counting(topology, allocation):
             topology.allocations[allocation.request.request_id] = allocation
 
-        with mock.patch.object(Topology, "allocate", forgetful):
-            report = replay(records_of(crowded("d", preemptible=True)), Policy.FAIR)
+        with mock.patch.object(Topology, "allocate", allocate_without_counting):
+            report = replay(make_records(submit_whole_workers("d", preemptible=True)), Policy.FAIR)
         self.assertIn("over its capacity", report.broken)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
@@ -40,7 +40,7 @@
     def reclaim(self, now_ms=10_000):
         return queue(self.scheduler, request("b0", "b", accelerators=8, at_ms=now_ms), now_ms)
 
-    def test_a_team_takes_back_its_shape_within_the_bound(self):
+    def test_a_team_reclaims_its_shape_within_the_bound(self):
         preempts = of_type(self.reclaim(), Preempt)
         self.assertEqual(8, len(preempts))
         self.assertTrue(all(p.stop_by_ms <= 10_000 + 30_000 for p in preempts))
@@ -50,13 +50,13 @@
         last = RequestEnded(preempts[-1].request_id, EndReason.PREEMPTED, 10_000)
         self.assertEqual(["b0"], started(self.scheduler.step(last, 12_000)))
 
-    def test_nobody_else_takes_what_was_freed_for_a_claim(self):
+    def test_resources_freed_for_a_claim_are_not_given_to_others(self):
         preempts = of_type(self.reclaim(), Preempt)
         ended = RequestEnded(preempts[0].request_id, EndReason.PREEMPTED, 10_000)
         self.scheduler.step(ended, 11_000)
         self.assertEqual([], started(queue(self.scheduler, request("a99", accelerators=1), 11_000)))
 
-    def test_a_cancelled_claim_gives_the_workers_back(self):
+    def test_a_cancelled_claim_frees_its_workers(self):
         preempts = of_type(self.reclaim(), Preempt)
         self.scheduler.step(RequestWithdrawn("b0"), 11_000)
         ended = RequestEnded(preempts[0].request_id, EndReason.PREEMPTED, 10_000)
@@ -65,7 +65,7 @@
             ["a99"], started(queue(self.scheduler, request("a99", accelerators=1), 11_000))
         )
 
-    def test_work_that_cannot_be_taken_back_stays_outside_guarantees(self):
+    def test_non_preemptible_work_stays_outside_guarantees(self):
         scheduler = make_scheduler(teams=(team("a"), team("b", (8,))))
         ids = [
             name
@@ -77,7 +77,7 @@
         self.assertEqual(8, len(ids))
         self.assertEqual(["b0"], started(queue(scheduler, request("b0", "b", accelerators=8))))
 
-    def test_a_lost_worker_under_a_claim_puts_the_request_back(self):
+    def test_a_claim_on_a_lost_worker_requeues_its_request(self):
         preempts = of_type(self.reclaim(), Preempt)
         [name] = self.scheduler.zone.claims.open["b0"].allocation.counts
         decisions = self.scheduler.step(WorkerLost(name), 11_000)
@@ -87,7 +87,7 @@
         self.assertEqual(8, len({p.request_id for p in of_type(decisions, Preempt)}))
 
 
-class CoverTests(testtools.TestCase):
+class CellMoveTests(testtools.TestCase):
     def test_a_gang_that_its_cells_cannot_cover_leaves_them_in_place(self):
         scheduler = make_scheduler(per_rack=3, teams=(team("a", (8,)), team("b", (8,))))
         before = [dict(places) for places in scheduler.zone.layout.places()]
@@ -99,7 +99,7 @@
 
 
 class UrgentTests(testtools.TestCase):
-    def test_an_urgent_request_takes_cheap_borrowed_work_back(self):
+    def test_an_urgent_request_preempts_the_cheapest_borrowed_work(self):
         scheduler = make_scheduler(config=SchedulingConfig(urgent_headroom_slots=0))
         for number in range(16):
             pending = request(f"a{number}", accelerators=1, checkpointable=number == 3)
@@ -112,7 +112,7 @@
         ended = RequestEnded("a3", EndReason.PREEMPTED, 1)
         self.assertEqual(["u"], started(scheduler.step(ended, now_ms + 2_000)))
 
-    def test_headroom_is_kept_for_urgent_work(self):
+    def test_headroom_is_kept_free_for_urgent_work(self):
         scheduler = make_scheduler(config=SchedulingConfig(urgent_headroom_slots=2))
         ids = [started(queue(scheduler, request(f"a{n}"))) for n in range(16)]
         self.assertEqual(14, sum(map(len, ids)))
@@ -120,19 +120,19 @@
 
 
 class CancellationWaveTests(testtools.TestCase):
-    """A hundred requests are cancelled each virtual millisecond, in the order they came."""
+    """Cancel 100 requests in each simulated millisecond, in order of submission."""
 
-    WAVE = 10_000
+    CANCELLED = 10_000
     PER_MS = 100
 
-    def wave(self, scheduler, urgent_at_ms, urgent):
-        """Cancel the wave around an urgent request and give the time at which that one started."""
+    def cancel_all(self, scheduler, urgent_at_ms, urgent):
+        """Cancel all requests around an urgent one and return the start time of the urgent one."""
         preempted = {}
-        for ms in range(self.WAVE // self.PER_MS + 3_601):
+        for ms in range(self.CANCELLED // self.PER_MS + 3_601):
             decisions = (
                 queue(scheduler, urgent, ms) if ms == urgent_at_ms else scheduler.step(Tick(), ms)
             )
-            for number in range(ms * self.PER_MS, min((ms + 1) * self.PER_MS, self.WAVE)):
+            for number in range(ms * self.PER_MS, min((ms + 1) * self.PER_MS, self.CANCELLED)):
                 decisions += scheduler.step(RequestWithdrawn(f"a{number}"), ms)
             preempted |= {p.request_id: p.stop_by_ms for p in of_type(decisions, Preempt)}
             for name in [name for name, by_ms in preempted.items() if by_ms <= ms]:
@@ -142,23 +142,23 @@
                 return ms
         return None
 
-    def test_an_urgent_request_starts_in_time_at_any_moment_of_a_wave(self):
+    def test_an_urgent_request_starts_in_time_during_a_mass_cancellation(self):
         for at_ms in (0, 50, 99):
             config = SchedulingConfig(urgent_headroom_slots=0)
-            teams = (team("a", max_queued=self.WAVE), team("b"))
+            teams = (team("a", max_queued=self.CANCELLED), team("b"))
             scheduler = make_scheduler(teams=teams, config=config)
             for number in range(16):
                 queue(scheduler, request(f"r{number}", accelerators=1, checkpointable=True))
-            for number in range(self.WAVE):
+            for number in range(self.CANCELLED):
                 queue(scheduler, request(f"a{number}", accelerators=1))
             urgent = request("u", "b", Urgency.URGENT, at_ms, accelerators=1)
-            start_ms = self.wave(scheduler, at_ms, urgent)
+            start_ms = self.cancel_all(scheduler, at_ms, urgent)
             self.assertIsNot(None, start_ms)
             self.assertTrue(start_ms - at_ms <= 3_600, start_ms)
 
 
 class GangTests(testtools.TestCase):
-    def test_a_gang_waits_whole_and_is_not_starved_by_small_work(self):
+    def test_a_gang_starts_whole_and_is_not_starved_by_small_work(self):
         scheduler = make_scheduler(teams=(team("a"), team("b")))
         queue(scheduler, request("a0", accelerators=4, run_ms=1_000_000), 0)
         gang = request("g", "b", members=2, accelerators=8, adjacency=Adjacency.RACK)
@@ -182,20 +182,20 @@
         scheduler = make_scheduler()
         queue(scheduler, request("a0", accelerators=4))
         queue(scheduler, request("g", "b", members=2, accelerators=8, adjacency=Adjacency.RACK))
-        told = scheduler.explain("g", 5_000)
-        self.assertEqual("waiting", told.state)
-        self.assertIn("2 x (8 accelerators", told.waits_for)
-        self.assertIn("waits for 5000 ms", told.details)
+        explanation = scheduler.explain("g", 5_000)
+        self.assertEqual("waiting", explanation.state)
+        self.assertIn("2 x (8 accelerators", explanation.waits_for)
+        self.assertIn("waits for 5000 ms", explanation.details)
         self.assertEqual("running", scheduler.explain("a0", 5_000).state)
         self.assertEqual("unknown", scheduler.explain("nobody", 5_000).state)
 
 
-class RefusalTests(testtools.TestCase):
-    def refused(self, scheduler, pending, now_ms=0):
+class RejectionTests(testtools.TestCase):
+    def rejection(self, scheduler, pending, now_ms=0):
         [reject] = of_type(queue(scheduler, pending, now_ms), Reject)
         return reject
 
-    def test_never_runnable_is_told_at_once_with_the_reason(self):
+    def test_an_infeasible_request_is_rejected_at_once_with_the_reason(self):
         scheduler = make_scheduler()
         cases = (
             ({"accelerators": 9}, "no worker"),
@@ -203,32 +203,34 @@
             ({"members": 2, "accelerators": 8, "adjacency": Adjacency.WORKER}, "1 of the 2"),
         )
         for demand, text in cases:
-            reject = self.refused(scheduler, request("x", **demand))
+            reject = self.rejection(scheduler, request("x", **demand))
             self.assertEqual(RejectReason.INFEASIBLE, reject.reason)
             self.assertIn(text, reject.detail)
             self.assertIs(None, reject.retry_after_ms)
 
-    def test_not_now_is_not_never(self):
+    def test_a_request_that_a_lost_worker_could_run_is_not_infeasible(self):
         scheduler = make_scheduler()
         scheduler.step(WorkerLost("w0"), 0)
         self.assertEqual([], of_type(queue(scheduler, request("x", members=16)), Reject))
 
-    def test_a_full_queue_says_when_to_come_back(self):
+    def test_a_full_team_queue_rejects_with_a_retry_time(self):
         scheduler = make_scheduler(teams=(team("a", max_queued=1),))
         queue(scheduler, request("a0", members=2, accelerators=8))
         queue(scheduler, request("a1", accelerators=1))
-        reject = self.refused(scheduler, request("a2", accelerators=1))
+        reject = self.rejection(scheduler, request("a2", accelerators=1))
         self.assertEqual(RejectReason.TEAM_QUEUE_FULL, reject.reason)
         self.assertTrue(1_000 <= reject.retry_after_ms <= 60_000)
 
-    def test_all_queues_together_are_bounded(self):
+    def test_the_total_number_of_queued_requests_is_limited(self):
         scheduler = make_scheduler(config=SchedulingConfig(max_queued_total=0))
-        self.assertEqual(RejectReason.QUEUE_FULL, self.refused(scheduler, request("a0")).reason)
+        self.assertEqual(RejectReason.QUEUE_FULL, self.rejection(scheduler, request("a0")).reason)
 
-    def test_a_deadline_that_passed_is_told(self):
+    def test_a_request_past_its_deadline_is_rejected(self):
         scheduler = make_scheduler()
         late = request("a0", deadline_ms=5)
-        self.assertEqual(RejectReason.DEADLINE_UNREACHABLE, self.refused(scheduler, late, 5).reason)
+        self.assertEqual(
+            RejectReason.DEADLINE_UNREACHABLE, self.rejection(scheduler, late, 5).reason
+        )
         queue(scheduler, request("a1", members=2, accelerators=8), 5)
         queue(scheduler, request("a2", accelerators=1, deadline_ms=900), 5)
         [reject] = of_type(scheduler.step(Tick(), 1_000), Reject)
@@ -236,12 +238,12 @@
             ("a2", RejectReason.DEADLINE_UNREACHABLE), (reject.request_id, reject.reason)
         )
 
-    def test_an_unknown_team_is_refused(self):
-        reject = self.refused(make_scheduler(), request("x", "nobody"))
+    def test_an_unknown_team_is_rejected(self):
+        reject = self.rejection(make_scheduler(), request("x", "nobody"))
         self.assertEqual(RejectReason.UNKNOWN_TEAM, reject.reason)
 
 
-class FailingTests(testtools.TestCase):
+class FailureTests(testtools.TestCase):
     def fail(self, scheduler, number, job, now_ms):
         pending = request(f"{job}{number}", accelerators=1, job=job)
         [start] = queue(scheduler, pending, now_ms)
@@ -249,7 +251,7 @@
         ended = RequestEnded(pending.request_id, EndReason.FAILED, 10, (name,))
         return scheduler.step(ended, now_ms)
 
-    def test_a_worker_that_fails_all_gets_single_probes(self):
+    def test_a_worker_that_fails_everything_gets_single_probes(self):
         scheduler = make_scheduler()
         decisions = [d for n in range(3) for d in self.fail(scheduler, n, f"j{n}", n)]
         [quarantine] = of_type(decisions, Quarantine)
@@ -262,7 +264,7 @@
         ended = scheduler.step(RequestEnded("y0", EndReason.FINISHED, 10), 72_000)
         self.assertEqual([True], [q.lifted for q in of_type(ended, Quarantine)])
 
-    def test_a_request_that_failed_on_all_that_could_run_it_is_given_up(self):
+    def test_a_request_that_failed_on_all_suitable_workers_is_rejected(self):
         scheduler = make_scheduler()
         pending = request("x", members=2, accelerators=8)
         queue(scheduler, pending)
@@ -272,7 +274,7 @@
 
 
 class DuplicateTests(testtools.TestCase):
-    def test_a_request_that_waits_or_runs_is_not_taken_twice(self):
+    def test_a_waiting_or_running_request_is_not_queued_twice(self):
         scheduler = make_scheduler()
         self.assertEqual(["x"], started(queue(scheduler, request("x", members=2, accelerators=8))))
         self.assertEqual([], queue(scheduler, request("x", members=2, accelerators=8)))
@@ -282,20 +284,20 @@
 
 
 class ChangeTests(testtools.TestCase):
-    def test_lost_workers_put_guarantees_at_risk_and_back(self):
+    def test_guarantees_are_at_risk_while_too_few_workers_are_left(self):
         scheduler = make_scheduler(teams=(team("a", (8,)), team("b", (8,))))
         [risk] = of_type(scheduler.step(WorkerLost("w0"), 0), GuaranteeAtRisk)
         self.assertEqual(1, len(risk.teams))
         [risk] = of_type(scheduler.step(WorkerJoined(worker("w9")), 0), GuaranteeAtRisk)
         self.assertEqual((), risk.teams)
 
-    def test_a_leaving_worker_takes_nothing_new(self):
+    def test_a_leaving_worker_gets_no_new_work(self):
         scheduler = make_scheduler()
         scheduler.step(WorkerLeaving("w0"), 0)
         [start] = queue(scheduler, request("x"))
         self.assertEqual({"w1"}, {a.worker for a in start.assignments})
 
-    def test_reported_usage_does_not_undo_what_was_placed_since(self):
+    def test_reported_usage_does_not_undo_newer_placements(self):
         scheduler = make_scheduler()
         queue(scheduler, request("a0", accelerators=8))
         queue(scheduler, request("a1", accelerators=8))
@@ -303,7 +305,7 @@
             scheduler.step(UsageReported(name, 0, 0, 0), 1_000)
         self.assertEqual([], started(queue(scheduler, request("a2", accelerators=1), 1_000)))
 
-    def test_a_new_scheduler_takes_over_what_runs(self):
+    def test_a_new_scheduler_adopts_running_work(self):
         before = make_scheduler(teams=(team("a", (8,)), team("b", (8,))))
         pending = request("a0", accelerators=8, preemptible=False)
         [start] = queue(before, pending)
