--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
@@ -252,8 +252,8 @@
         """Tell whether a start would use the slots kept free for urgent work."""
         if request.urgency is Urgency.URGENT or is_large(request):
             return False
-        left = self._zone.topology.free_slots - request.demand.members
-        return left < self._zone.config.urgent_headroom_slots
+        remaining = self._zone.topology.free_slots - request.demand.members
+        return remaining < self._zone.config.urgent_headroom_slots
 
 
 def kind_outside_cells(request: PendingRequest) -> Backing:
