--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
@@ -55,7 +55,7 @@
         self._at_risk: tuple[str, ...] = ()
         self._last_pass_version = -1
         self._last_pass_ms = 0
-        self._is_unfinished = False
+        self._last_pass_decided = False
 
     def step(self, event: SchedulerEvent, now_ms: int) -> list[Decision]:
         """Process one event and return the decisions in the order to carry them out."""
@@ -174,13 +174,13 @@
         if not len(self.zone.queue):
             return False
         changed = self.zone.topology.version != self._last_pass_version
-        return changed or self._is_unfinished or now_ms - self._last_pass_ms >= PASS_INTERVAL_MS
+        return changed or self._last_pass_decided or now_ms - self._last_pass_ms >= PASS_INTERVAL_MS
 
     def _run_pass(self, now_ms: int) -> list[Decision]:
         self._last_pass_version = self.zone.topology.version
         self._last_pass_ms = now_ms
         decisions = self._starter.run_pass(now_ms)
-        self._is_unfinished = bool(decisions)
+        self._last_pass_decided = bool(decisions)
         return decisions
 
     def _guarantee_risks(self) -> list[Decision]:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/support.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/support.py
@@ -14,14 +14,16 @@
     return Worker(name, "z", rack, accelerators, cpu_cores=32, memory_mb=128_000, slots=8)
 
 
-def request(name, team="a", urgency=Urgency.NORMAL, at_ms=0, run_ms=60_000, job="j", **kept):
-    flags = {k: kept.pop(k) for k in ("preemptible", "checkpointable", "deadline_ms") if k in kept}
-    demand = Demand(**({"cpu_cores": 1, "memory_mb": 256} | kept))
+def request(name, team="a", urgency=Urgency.NORMAL, at_ms=0, run_ms=60_000, job="j", **options):
+    flags = {
+        k: options.pop(k) for k in ("preemptible", "checkpointable", "deadline_ms") if k in options
+    }
+    demand = Demand(**({"cpu_cores": 1, "memory_mb": 256} | options))
     return PendingRequest(name, team, job, urgency, demand, run_ms, at_ms, **flags)
 
 
-def team(name, *shapes, **kept):
-    return Team(name, tuple(Shape(*shape) for shape in shapes), **kept)
+def team(name, *shapes, **options):
+    return Team(name, tuple(Shape(*shape) for shape in shapes), **options)
 
 
 TWO_TEAMS = (Team("a"), Team("b"))
