--- a/packages/agateferry-jobs/agateferry_jobs/cell/callers.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/callers.py
@@ -8,7 +8,7 @@
 from agateferry_jobs.cell import events
 from agateferry_jobs.cell.proposing import Proposer, reply_for
 from agateferry_jobs.ledger import Job, Ledger, commands
-from agateferry_jobs.ledger.specs import declared_ms
+from agateferry_jobs.ledger.specs import declared_critical_path_ms
 from agateferry_jobs.manifest import Manifest, Queue
 
 NO_MANIFEST_RETRY_MS = 1_000
@@ -63,7 +63,9 @@
             queue=queue.name,
             team=team,
             priority=queue.priority,
-            objective_ms=round(queue.stretch * declared_ms(call.job) + queue.target_ms),
+            objective_ms=round(
+                queue.stretch * declared_critical_path_ms(call.job) + queue.target_ms
+            ),
             steps=_shape(call),
         )
         self._request_planning()
--- a/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
@@ -179,7 +179,7 @@
 
     def _make_plan(self) -> Plan:
         self._stop_unwanted()
-        fleet = Fleet.of(
+        fleet = Fleet.from_ledger(
             self._ledger, self._registry.health(self._is_suspect), self._registry.stopping()
         )
         return Planner(self._ledger, fleet, self.now_ms).plan()
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
@@ -71,7 +71,7 @@
         return self.start_at_ms + occurrence * self.interval_ms
 
 
-def declared_ms(spec: JobSpec) -> int:
+def declared_critical_path_ms(spec: JobSpec) -> int:
     """Return the longest chain of declared lengths through a job's steps."""
     return longest_ms(spec.steps, [step.estimated_ms for step in spec.steps])
 
--- a/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
@@ -103,7 +103,7 @@
             self.by_service[worker.incarnation.service].append(worker)
 
     @classmethod
-    def of(
+    def from_ledger(
         cls,
         ledger: Ledger,
         health: Mapping[str, WorkerHealth],
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
@@ -32,7 +32,7 @@
             self.health[incarnation.id] = WorkerHealth(**health)
 
     def plan(self, now_ms=0):
-        fleet = Fleet.of(self.ledger, self.health, self.stopping)
+        fleet = Fleet.from_ledger(self.ledger, self.health, self.stopping)
         return Planner(self.ledger, fleet, now_ms).plan()
 
     def placed(self, now_ms=0):
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/world.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/world.py
@@ -244,7 +244,7 @@
             for name in group.members
         }
         health = {id: WorkerHealth(answers=id not in self._cut_off) for id in self._racks}
-        fleet = Fleet.of(self._ledger, health, stopping)
+        fleet = Fleet.from_ledger(self._ledger, health, stopping)
         plan = self._policy.plan(self._ledger, fleet, self._now_ms)
         for stop in plan.stops:
             for group in self._groups:
