--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_bookkeeping.py
@@ -17,7 +17,7 @@
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.planning.fleet import WorkerAllocation
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
-from agateferry_jobs.support.making import WORKER_CAPACITY
+from agateferry_jobs.support.builders import WORKER_CAPACITY
 from agateferry_jobs.workers.lease import Lease
 from agateferry_jobs.workers.session import Phase, WorkerSession
 
@@ -54,7 +54,7 @@
 
     def new_port(self, born):
         port = ModelWorker(self.clock, born)
-        carry_out = port.carry_out
+        carry_out = port.execute
 
         def checked(order):
             before = len(port.starts)
@@ -63,7 +63,7 @@
                 self.started_done = order.key
             return answer
 
-        port.carry_out = checked
+        port.execute = checked
         return port
 
     def is_done(self, key):
@@ -75,7 +75,7 @@
         port = self.ports[incarnation.id]
         if port.born != incarnation.born:
             port = self.new_port(incarnation.born)
-            port.is_other = True
+            port.is_replaced = True
         return port
 
     async def play(self):
@@ -134,32 +134,32 @@
         return len(members) == held.spec.steps[0].count
 
     async def lose_orders(self):
-        self.any_port().loses_orders = self.rng.randint(1, 3)
+        self.any_port().orders_to_lose = self.rng.randint(1, 3)
 
     async def carry_out_late(self):
         port = self.any_port()
-        if port.late:
-            order = port.late.pop(self.rng.randrange(len(port.late)))
+        if port.delayed_orders:
+            order = port.delayed_orders.pop(self.rng.randrange(len(port.delayed_orders)))
             self.orders.append((port, order))
-            port.carry_out(order)
+            port.execute(order)
 
     async def repeat_an_order(self):
         if self.orders:
             port, order = self.rng.choice(self.orders)
             if port in self.ports.values():
-                port.carry_out(order)
+                port.execute(order)
 
     async def cut(self):
-        self.any_port().is_cut = True
+        self.any_port().is_unreachable = True
 
     async def heal(self):
         for port in self.ports.values():
-            port.is_cut = False
+            port.is_unreachable = False
 
     async def be_born_again(self):
         id = self.rng.choice(sorted(self.ports))
         old = self.ports[id]
-        old.is_other = True
+        old.is_replaced = True
         old.running.clear()
         self.incarnations[id] = worker(id, born=old.born + 1)
         self.ports[id] = self.new_port(old.born + 1)
@@ -174,7 +174,7 @@
         """Let all troubles end; every job must come to its end then."""
         await self.heal()
         for port in self.ports.values():
-            port.loses_orders = 0
+            port.orders_to_lose = 0
         end_s = self.clock.time() + SETTLE_S
         while not all(job.is_over for job in self.ledger.jobs.values()):
             if self.clock.time() > end_s:
@@ -185,8 +185,8 @@
     async def tick_for_ever(self):
         for tick in range(1_000_000):
             for port in self.ports.values():
-                port.lapse()
-                port.percent = (port.percent + PROGRESS) % 99
+                port.expire_lease()
+                port.progress_percent = (port.progress_percent + PROGRESS) % 99
             self.check()
             if tick % BEAT_TICKS == 0:
                 await self.heartbeat()
@@ -194,7 +194,7 @@
 
     async def heartbeat(self):
         for id, port in self.ports.items():
-            if not port.is_cut and self.replica.is_leader:
+            if not port.is_unreachable and self.replica.is_leader:
                 await self.leader.handle(
                     messages.Heartbeat(self.incarnations[id], self.clock.now_ms())
                 )
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_leader.py
@@ -10,7 +10,7 @@
 from agateferry_jobs.ledger import JobState, Ledger, WorkerState, commands
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.support import MemoryReplica, ModelWorker, manifest, worker
-from agateferry_jobs.support.making import SUBTASK_RESOURCES
+from agateferry_jobs.support.builders import SUBTASK_RESOURCES
 from agateferry_state.replica.protocols import ProposeErrorKind
 
 WHOLE = Resources(cpu=1000, mem_mb=100, gpu=8)
@@ -122,11 +122,11 @@
 
     def test_a_job_whose_fate_is_unknown_is_neither_accepted_nor_refused(self):
         async def scenario():
-            self.replica.fate = lambda _: ProposeErrorKind.UNKNOWN
+            self.replica.error_for = lambda _: ProposeErrorKind.UNKNOWN
             self.assertIsInstance(
                 await self.call(messages.Submit(target(), JOB)), messages.OutcomeUnknown
             )
-            self.replica.fate = lambda _: None
+            self.replica.error_for = lambda _: None
             self.assertEqual(messages.Done(), await self.call(messages.Submit(target(), JOB)))
 
         self.check(scenario)
@@ -138,12 +138,14 @@
             is_start = lambda data: isinstance(  # noqa: E731
                 commands.decode(data), commands.StartRuns
             )
-            self.replica.fate = lambda data: ProposeErrorKind.NOT_LEADER if is_start(data) else None
+            self.replica.error_for = lambda data: (
+                ProposeErrorKind.NOT_LEADER if is_start(data) else None
+            )
             await self.heartbeat(worker("w1"))
             await self.call(messages.Submit(target(), JOB))
             await asyncio.sleep(0.5)
             self.assertEqual([], self.ports["w1"].starts)
-            self.replica.fate = lambda _: None
+            self.replica.error_for = lambda _: None
             await self.running_on("w1")
 
         self.check(scenario)
@@ -153,11 +155,13 @@
             is_start = lambda data: isinstance(  # noqa: E731
                 commands.decode(data), commands.StartRuns
             )
-            self.replica.fate = lambda data: ProposeErrorKind.UNKNOWN if is_start(data) else None
+            self.replica.error_for = lambda data: (
+                ProposeErrorKind.UNKNOWN if is_start(data) else None
+            )
             await self.heartbeat(worker("w1"))
             await self.call(messages.Submit(target(), JOB))
             await self.until(lambda: self.ledger.jobs[ID].has_started, "stored")
-            self.replica.fate = lambda _: None
+            self.replica.error_for = lambda _: None
             await self.running_on("w1")
 
         self.check(scenario)
@@ -214,7 +218,7 @@
             await self.call(messages.Submit(target(), JOB))
             await self.running_on("w1")
             silent = self.ports["w1"]
-            silent.is_cut = True
+            silent.is_unreachable = True
             await self.heartbeat(worker("w2"))
             await self.running_on("w2")
             self.assertGreaterEqual(self.clock.now_ms(), silent.deadline_ms)
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
@@ -14,7 +14,7 @@
 from agateferry_jobs.ledger.specs import JobSpec, StepSpec
 from agateferry_jobs.settings import HostSettings
 from agateferry_jobs.support import ModelWorker, manifest
-from agateferry_jobs.support.making import SUBTASK_RESOURCES
+from agateferry_jobs.support.builders import SUBTASK_RESOURCES
 from agateferry_state.journal import JournalError, JournalErrorKind
 
 IPS = ("127.0.0.1", "127.0.0.2", "127.0.0.3")
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
@@ -5,7 +5,7 @@
 from agateferry_jobs.ledger.durations import MIN_RUNS, DurationEstimate
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.support import job_command, start_of
-from agateferry_jobs.support.making import SUBTASK_RESOURCES
+from agateferry_jobs.support.builders import SUBTASK_RESOURCES
 
 
 class ExpectedTests(testtools.TestCase):
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
@@ -3,7 +3,7 @@
 from agateferry_jobs.ledger import JobState, Ledger, Run, WorkerState, commands
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.support import job_command, manifest, start_of, worker
-from agateferry_jobs.support.making import SUBTASK_RESOURCES
+from agateferry_jobs.support.builders import SUBTASK_RESOURCES
 
 
 class LedgerCase(testtools.TestCase):
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
@@ -6,7 +6,7 @@
 from agateferry_jobs.planning import Fleet, Planner, WorkerHealth
 from agateferry_jobs.planning.choice import RESERVED_PATIENCE_MS
 from agateferry_jobs.support import job_command, manifest, start_of, worker
-from agateferry_jobs.support.making import SUBTASK_RESOURCES
+from agateferry_jobs.support.builders import SUBTASK_RESOURCES
 
 PATIENT_MS = 201
 """The wait after which the least urgent work uses any worker; its slack is 1000 ms here."""
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
@@ -4,7 +4,7 @@
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.planning.timing import Lateness, Timing, open_occurrence
 from agateferry_jobs.support import job_command, manifest, start_of
-from agateferry_jobs.support.making import SUBTASK_RESOURCES
+from agateferry_jobs.support.builders import SUBTASK_RESOURCES
 
 
 class TimingCase(testtools.TestCase):
--- a/packages/agateferry-jobs/agateferry_jobs/support/making.py
+++ b/packages/agateferry-jobs/agateferry_jobs/support/builders.py
@@ -1,4 +1,4 @@
-"""Short makers of the values that tests need."""
+"""Builders of the jobs, workers, commands and manifests that tests need."""
 
 from agateferry_jobs.ledger import Run, WorkerIncarnation, WorkerState, commands
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
@@ -11,7 +11,7 @@
 def worker(
     id: str, rack: str = "r1", born: int = 1, state: WorkerState = WorkerState.READY
 ) -> WorkerIncarnation:
-    """Return a life of a worker with eight accelerators."""
+    """Return an incarnation of a worker with eight accelerators."""
     return WorkerIncarnation(
         id,
         born,
@@ -26,24 +26,27 @@
 
 
 def job_command(
-    id: str, *steps: StepSpec, priority: int = 1, attempts: int = 2, at_ms: int = 0, **when: int
+    id: str, *steps: StepSpec, priority: int = 1, attempts: int = 2, at_ms: int = 0, **schedule: int
 ) -> commands.AcceptJob:
-    """Return the command that stores a job; without steps it has one of one subtask."""
-    spec = JobSpec("payload", steps or (StepSpec(1, SUBTASK_RESOURCES),), **when)
+    """Return the command that accepts a job; without steps it has one step of one subtask.
+
+    `schedule` is passed to `JobSpec`, such as `start_at_ms` and `repeat_count`.
+    """
+    spec = JobSpec("payload", steps or (StepSpec(1, SUBTASK_RESOURCES),), **schedule)
     return commands.AcceptJob(id, "queue", "pool", "team", priority, attempts, at_ms, spec)
 
 
 def start_of(
     job: str, subtask: str, number: int = 1, on: str = "w1", born: int = 1
 ) -> commands.RunStart:
-    """Return the intent to start a subtask."""
+    """Return the start of a subtask on a worker."""
     return commands.RunStart(job, subtask, Run(number, on, born))
 
 
 def manifest(
     version: int = 1, source: str = "", stretch: float = 3.0, target_ms: float = 1000
 ) -> Manifest:
-    """Return a manifest with one queue, one pool and one team."""
+    """Return a manifest with one queue, one service and one team, whose guarantee is 8 GPUs."""
     queue = Queue(
         "queue", "host", "/jobs/", "pool", 3000, target_ms, 1, attempts=2, stretch=stretch
     )
--- a/packages/agateferry-jobs/agateferry_jobs/support/model_worker.py
+++ b/packages/agateferry-jobs/agateferry_jobs/support/model_worker.py
@@ -1,6 +1,7 @@
-"""A worker as the platform's pages describe it, without a network.
+"""An in-memory worker that follows the platform's protocol, without a network.
 
-Orders can be lost, answered, or carried out later; leases and fencing tokens hold as on a real one.
+A test can lose an order, delay it or have it executed; leases and fencing tokens are enforced as on
+a real worker.
 """
 
 import asyncio
@@ -23,45 +24,50 @@
 )
 
 WAIT_STEP_MS = 10
-"""How often a hold that waits looks for an end."""
+"""How often a waiting poll checks whether a run ended."""
 WAIT_STEP_S = WAIT_STEP_MS / 1000
 
 
 @dataclass
 class ModelWorker:
-    """One life of a worker. `late` collects orders that got no answer; `carry_out` does them."""
+    """One incarnation of a worker.
+
+    The next `orders_to_lose` start orders get no answer and are kept in `delayed_orders`; a test
+    can pass them to `execute` later, as if the network had delayed them.
+    """
 
     clock: Clock
     born: int = 1
-    loses_orders: int = 0
-    is_cut: bool = False
+    orders_to_lose: int = 0
+    is_unreachable: bool = False
     is_full: bool = False
-    is_other: bool = False
+    is_replaced: bool = False
     token: int = 0
     deadline_ms: int = 0
     running: dict[RunKey, int] = field(default_factory=dict)
-    over: dict[RunKey, int] = field(default_factory=dict)
+    ended_runs: dict[RunKey, int] = field(default_factory=dict)
+    """The newest run of each subtask that ended or was ordered to stop; it never starts again."""
     ends: list[FinishedRun] = field(default_factory=list)
-    ended: int = 0
-    late: list[StartOrder] = field(default_factory=list)
+    last_end_number: int = 0
+    delayed_orders: list[StartOrder] = field(default_factory=list)
     starts: list[tuple[RunKey, int]] = field(default_factory=list)
-    percent: float = 0.0
+    progress_percent: float = 0.0
     first_outcome: str = ""
 
     async def start(self, order: StartOrder, timeout_ms: int) -> Answer:
-        """Take a start, or lose it for now."""
-        if self.is_cut:
+        """Execute a start order, unless this worker is unreachable, loses the order or is full."""
+        if self.is_unreachable:
             return NoAnswer("cut")
-        if self.loses_orders > 0:
-            self.loses_orders -= 1
-            self.late.append(order)
+        if self.orders_to_lose > 0:
+            self.orders_to_lose -= 1
+            self.delayed_orders.append(order)
             return NoAnswer("lost")
         if self.is_full:
             return Rejected("room", self.clock.now_ms())
-        return self.carry_out(order)
+        return self.execute(order)
 
-    def carry_out(self, order: StartOrder) -> Answer:
-        """Do what a start asks."""
+    def execute(self, order: StartOrder) -> Answer:
+        """Start a run, unless the token, the deadline or the run number is outdated."""
         now_ms = self.clock.now_ms()
         if order.token < self.token:
             return Rejected("fence", now_ms)
@@ -71,26 +77,26 @@
         self.deadline_ms = max(self.deadline_ms, order.deadline_ms)
         if self.running.get(order.key) == order.run:
             return Confirmed(now_ms)
-        if order.run <= self.over.get(order.key, 0):
+        if order.run <= self.ended_runs.get(order.key, 0):
             return Rejected("old", now_ms)
         self.running[order.key] = order.run
         self.starts.append((order.key, order.run))
         return Confirmed(now_ms)
 
-    def lapse(self) -> None:
-        """Kill everything once the lease is over."""
+    def expire_lease(self) -> None:
+        """Kill all runs if the lease has expired."""
         if self.clock.now_ms() > self.deadline_ms:
             for key in list(self.running):
                 self.end(key, "lapsed")
 
     async def stop(self, order: StopOrder, timeout_ms: int) -> Answer:
-        """Take a stop."""
-        if self.is_cut:
+        """Execute a stop order, unless this worker is unreachable."""
+        if self.is_unreachable:
             return NoAnswer("cut")
         if order.token < self.token:
             return Rejected("fence", self.clock.now_ms())
         self.token = order.token
-        self.over[order.key] = max(order.run, self.over.get(order.key, 0))
+        self.ended_runs[order.key] = max(order.run, self.ended_runs.get(order.key, 0))
         if self.running.get(order.key) == order.run:
             self.end(order.key, "stopped")
         return Confirmed(self.clock.now_ms())
@@ -98,15 +104,19 @@
     async def poll(
         self, order: PollOrder, timeout_ms: int
     ) -> RunLists | Rejected | IncarnationMismatch | NoAnswer:
-        """Extend the lease and list."""
+        """Extend the lease and return the running and finished runs."""
         await asyncio.sleep(WAIT_STEP_S)
         for _ in range(order.wait_ms // WAIT_STEP_MS):
-            if self.is_cut or self.is_other or any(e.number > order.cursor for e in self.ends):
+            if (
+                self.is_unreachable
+                or self.is_replaced
+                or any(e.number > order.cursor for e in self.ends)
+            ):
                 break
             await asyncio.sleep(WAIT_STEP_S)
-        if self.is_cut:
+        if self.is_unreachable:
             return NoAnswer("cut")
-        if self.is_other:
+        if self.is_replaced:
             return IncarnationMismatch()
         if order.token < self.token:
             return Rejected("fence", self.clock.now_ms())
@@ -114,16 +124,18 @@
         if order.deadline_ms is not None:
             self.deadline_ms = max(self.deadline_ms, order.deadline_ms)
         self.ends = [end for end in self.ends if end.number > order.cursor]
-        running = tuple(RunningRun(k, r, "", self.percent) for k, r in self.running.items())
+        running = tuple(
+            RunningRun(k, r, "", self.progress_percent) for k, r in self.running.items()
+        )
         return RunLists(self.clock.now_ms(), self.born, running, tuple(self.ends))
 
     def end(self, key: RunKey, outcome: str, checkpoint: str = "") -> None:
-        """Have a run end."""
+        """End a run with this outcome."""
         run = self.running.pop(key)
         self.first_outcome = self.first_outcome or outcome
-        self.over[key] = run
-        self.ended += 1
-        self.ends.append(FinishedRun(self.ended, key, run, outcome, checkpoint))
+        self.ended_runs[key] = run
+        self.last_end_number += 1
+        self.ends.append(FinishedRun(self.last_end_number, key, run, outcome, checkpoint))
 
     async def close(self) -> None:
         """Do nothing."""
--- a/packages/agateferry-jobs/agateferry_jobs/support/replica.py
+++ b/packages/agateferry-jobs/agateferry_jobs/support/replica.py
@@ -1,4 +1,4 @@
-"""A replica in memory: what is proposed is applied at once, unless a test says otherwise."""
+"""An in-memory replica that applies proposals at once, unless a test injects an error."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,10 +14,10 @@
 
 
 class MemoryReplica:
-    """Stand in for one member that leads; `fate` decides about each proposal.
+    """One member of a replicated log; `error_for` decides the outcome of each proposal.
 
-    `fate` returns None for one that is applied and told, or the error to tell; with `UNKNOWN` the
-    command is applied all the same.
+    `error_for` returns None for a command that is applied and answered with its result, or the kind
+    of error to return. The command is not applied then, except with `UNKNOWN`.
     """
 
     def __init__(self, machine: StateMachine) -> None:
@@ -25,17 +25,17 @@
         self.leader: str | None = "here"
         self.term = 1
         self.failure: ProposeError | None = None
-        self.fate: Callable[[bytes], ProposeErrorKind | None] = lambda _: None
+        self.error_for: Callable[[bytes], ProposeErrorKind | None] = lambda _: None
         self._machine = machine
         self._index = 0
         self._listeners: list[Callable[[bool, int], None]] = []
 
     def on_leadership(self, listener: Callable[[bool, int], None]) -> None:
-        """Keep a listener for `lead`."""
+        """Register a listener that `lead` calls."""
         self._listeners.append(listener)
 
     def lead(self, leads: bool = True) -> None:
-        """Tell the listeners that this member leads, or not."""
+        """Make this member the leader, or not, in a new term, and call the listeners."""
         self.is_leader = leads
         self.term += 1
         for listener in self._listeners:
@@ -48,15 +48,15 @@
         """Do nothing."""
 
     async def propose(self, command: bytes) -> Result[Applied, ProposeError]:
-        """Apply a command as `fate` says."""
-        kind = self.fate(command)
+        """Apply a command or return an error, as `error_for` decides."""
+        kind = self.error_for(command)
         if kind is not None and kind is not ProposeErrorKind.UNKNOWN:
             return Error(ProposeError(kind, self.leader))
         self._index += 1
-        outcome: Any = self._machine.apply(self._index, command)
+        result: Any = self._machine.apply(self._index, command)
         if kind is not None:
             return Error(ProposeError(kind, self.leader))
-        return Ok(Applied(self._index, outcome))
+        return Ok(Applied(self._index, result))
 
     async def read_barrier(self) -> Result[int, ProposeError]:
         """Return at once."""
--- a/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
@@ -74,31 +74,31 @@
 class StartTests(SessionCase):
     def test_a_lost_order_is_asked_again_and_runs_once(self):
         async def scenario():
-            self.worker.loses_orders = 1
+            self.worker.orders_to_lose = 1
             self.session.start(start_of(*KEY), "payload")
             await self.until(lambda: KEY in self.worker.running, "start")
-            self.worker.carry_out(self.worker.late[0])
+            self.worker.execute(self.worker.delayed_orders[0])
             self.assertEqual([(KEY, 1)], self.worker.starts)
 
         self.check(scenario)
 
     def test_a_start_without_any_answer_is_refused_once_its_order_can_do_nothing(self):
         async def scenario():
-            self.worker.loses_orders = 2
+            self.worker.orders_to_lose = 2
             self.session.start(start_of(*KEY), "payload")
             await self.until(lambda: self.outcomes() == [RunOutcome.REFUSED], "refused")
-            for order in self.worker.late:
-                self.worker.carry_out(order)
+            for order in self.worker.delayed_orders:
+                self.worker.execute(order)
             self.assertEqual({}, self.worker.running)
 
         self.check(scenario)
 
     def test_a_start_that_was_carried_out_without_an_answer_is_found(self):
         async def scenario():
-            self.worker.loses_orders = 2
+            self.worker.orders_to_lose = 2
             self.session.start(start_of(*KEY), "payload")
-            await self.until(lambda: self.worker.late, "lost order")
-            self.worker.carry_out(self.worker.late[0])
+            await self.until(lambda: self.worker.delayed_orders, "lost order")
+            self.worker.execute(self.worker.delayed_orders[0])
             await asyncio.sleep(0.3)
             self.assertEqual([], self.outcomes())
             self.worker.end(KEY, "done")
