--- a/packages/agateferry-jobs/agateferry_jobs/ledger/durations.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/durations.py
@@ -6,7 +6,7 @@
 measurements of one quantity.
 
     record.note(declared_ms=2000, real_ms=8000)
-    record.expected_ms(declared_ms=2500)
+    record.expected_duration_ms(declared_ms=2500)
 """
 
 import math
@@ -37,7 +37,7 @@
         self.sum_log_squared += real * real
         self.sum_error_squared += (math.log(declared_ms) - real) ** 2
 
-    def expected_ms(self, declared_ms: int) -> int:
+    def expected_duration_ms(self, declared_ms: int) -> int:
         """Return the length that is expected of a run whose caller declared this much."""
         if self.runs < MIN_RUNS or declared_ms <= 0:
             return declared_ms
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
@@ -62,10 +62,10 @@
         """Return the newest life of each worker by id."""
         return self.state.workers
 
-    def expected_ms(self, queue: str, declared_ms: int) -> int:
+    def expected_duration_ms(self, queue: str, declared_ms: int) -> int:
         """Return how long a subtask of a queue takes, as far as its runs so far tell."""
         record = self.state.lengths.get(queue)
-        return record.expected_ms(declared_ms) if record is not None else declared_ms
+        return record.expected_duration_ms(declared_ms) if record is not None else declared_ms
 
     def apply(self, index: int, command: bytes) -> Any:
         """Apply one command and return its outcome."""
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
@@ -73,10 +73,10 @@
 
 def declared_critical_path_ms(spec: JobSpec) -> int:
     """Return the longest chain of declared lengths through a job's steps."""
-    return longest_ms(spec.steps, [step.estimated_ms for step in spec.steps])
+    return critical_path_ms(spec.steps, [step.estimated_ms for step in spec.steps])
 
 
-def longest_ms(steps: Sequence[StepSpec], lengths_ms: Sequence[int]) -> int:
+def critical_path_ms(steps: Sequence[StepSpec], lengths_ms: Sequence[int]) -> int:
     """Return the longest chain through steps of the given lengths."""
     ends: list[int] = []
     for step, length_ms in zip(steps, lengths_ms, strict=True):
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
@@ -17,19 +17,19 @@
 
     def test_few_runs_say_nothing(self):
         record = self.record(*[(1000, 8000)] * (MIN_RUNS - 1))
-        self.assertEqual(500, record.expected_ms(500))
+        self.assertEqual(500, record.expected_duration_ms(500))
 
     def test_exact_declarations_are_believed(self):
         record = self.record((1000, 1000), (2000, 2000), (4000, 4000), (8000, 8000))
-        self.assertTrue(2800 < record.expected_ms(3000) < 3200)
+        self.assertTrue(2800 < record.expected_duration_ms(3000) < 3200)
 
     def test_wild_declarations_give_way_to_what_runs_took(self):
         record = self.record((800, 8000), (15_000, 8000), (2000, 8100), (1500, 7900))
-        self.assertTrue(7500 < record.expected_ms(1000) < 8100)
+        self.assertTrue(7500 < record.expected_duration_ms(1000) < 8100)
 
     def test_what_was_never_declared_is_no_evidence(self):
         record = self.record(*[(0, 8000)] * MIN_RUNS)
-        self.assertEqual((0, 700), (record.runs, record.expected_ms(700)))
+        self.assertEqual((0, 700), (record.runs, record.expected_duration_ms(700)))
 
 
 class LedgerTests(testtools.TestCase):
@@ -57,9 +57,9 @@
     def test_they_survive_a_snapshot(self):
         for number in range(MIN_RUNS):
             self.end(f"j{number}", commands.RunOutcome.DONE)
-        before = self.ledger.expected_ms("queue", 1000)
+        before = self.ledger.expected_duration_ms("queue", 1000)
         self.ledger.restore(self.ledger.snapshot())
-        self.assertEqual(before, self.ledger.expected_ms("queue", 1000))
+        self.assertEqual(before, self.ledger.expected_duration_ms("queue", 1000))
         self.assertTrue(before > 1000)
 
     def test_a_snapshot_from_before_is_read(self):
--- a/packages/agateferry-jobs/agateferry_jobs/planning/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/__init__.py
@@ -1,4 +1,4 @@
-"""Which subtask starts where, and which run makes room for it; no I/O."""
+"""Which subtask starts where, and which runs are preempted for it; no I/O."""
 
 from agateferry_jobs.planning.fleet import Fleet, WorkerAllocation, WorkerHealth
 from agateferry_jobs.planning.planner import Plan, Planner
--- a/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
@@ -1,4 +1,4 @@
-"""The workers as the planner sees them: what is free now and what will be once stops end."""
+"""The workers as the planner sees them: what is free now and once all stopping runs have ended."""
 
 from collections import defaultdict
 from collections.abc import Collection, Iterable, Mapping
@@ -14,17 +14,17 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerHealth:
-    """What calls to a worker showed: whether it answers, and whether its runs come to an end."""
+    """What calls to a worker showed: whether it answers, and whether its runs fail or hang."""
 
     answers: bool = True
     is_suspect: bool = False
     strays: tuple[RunKey, ...] = ()
-    """Runs that the worker holds and the ledger does not count there; they take room too."""
+    """Runs that the worker reports but the ledger does not place there; they use resources too."""
 
 
 @dataclass(slots=True)
 class AllocatedRun:
-    """A run that holds a part of a worker."""
+    """A run that holds resources of a worker."""
 
     job: Job
     subtask: str
@@ -34,10 +34,10 @@
 
 @dataclass(slots=True)
 class WorkerAllocation:
-    """One worker: its life, what is free, and who holds the rest.
+    """One worker: its incarnation, its free resources, and the runs that hold the rest.
 
-    `free` is free now. `free_after_stops` is free once everything that is being stopped has ended,
-    less what the planner has promised to jobs that wait for it.
+    `free` is free now. `free_after_stops` is what is free once all stopping runs have ended, less
+    what the planner has reserved for waiting jobs.
     """
 
     incarnation: WorkerIncarnation
@@ -48,31 +48,31 @@
     runs: list[AllocatedRun] = field(default_factory=list)
 
     @property
-    def is_staying(self) -> bool:
-        """Tell whether this worker takes work once it answers."""
+    def is_ready(self) -> bool:
+        """Tell whether this worker may get new runs, provided that it answers."""
         return self.incarnation.state is WorkerState.READY
 
     @property
-    def takes_work(self) -> bool:
-        """Tell whether new runs may go to this worker."""
-        return self.is_staying and self.health.answers
+    def accepts_runs(self) -> bool:
+        """Tell whether new runs may go to this worker now."""
+        return self.is_ready and self.health.answers
 
-    def can_hold(self, step: StepSpec) -> bool:
-        """Tell whether a subtask may run here at all, as far as service labels and size go."""
+    def can_ever_run(self, step: StepSpec) -> bool:
+        """Tell whether a subtask of this step would fit here if the worker were empty."""
         if step.required_label and step.required_label not in self.incarnation.labels:
             return False
         return step.need.fits(self.incarnation.capacity)
 
-    def has_room(self, step: StepSpec) -> bool:
-        """Tell whether a subtask fits now."""
+    def fits_now(self, step: StepSpec) -> bool:
+        """Tell whether a subtask of this step fits into the free resources."""
         return self.free_slots > 0 and step.need.fits(self.free)
 
-    def count_of(self, job: Job, gang: str) -> int:
-        """Return how many subtasks of one step of one occurrence run here."""
-        return sum(1 for o in self.runs if o.job is job and gang_of(o.subtask) == gang)
+    def count_subtasks(self, job: Job, gang: str) -> int:
+        """Return how many subtasks of a step of one occurrence run here; `gang` is `K.STEP`."""
+        return sum(1 for run in self.runs if run.job is job and gang_of(run.subtask) == gang)
 
     def allocate(self, job: Job, subtask: str) -> None:
-        """Count a run that holds room here or is about to."""
+        """Allocate resources to a run that is here or is about to start."""
         step = job.step_of(subtask)
         self.runs.append(AllocatedRun(job, subtask, step, is_stopping=False))
         self.free = self.free.minus(step.need)
@@ -80,12 +80,12 @@
         self.free_slots -= 1
 
     def mark_stopping(self, allocated_run: AllocatedRun) -> None:
-        """Count a run as being stopped; its room is free once it has ended."""
+        """Record that a run is being stopped; its resources are free once it has ended."""
         allocated_run.is_stopping = True
         self.free_after_stops = self.free_after_stops.plus(allocated_run.step.need)
 
     def reserve(self, need: Resources) -> None:
-        """Keep room for a job that waits, so that jobs after it do not take it."""
+        """Reserve resources for a waiting job, so that jobs planned after it do not get them."""
         self.free_after_stops = self.free_after_stops.minus(need)
         self.free = Resources(
             min(self.free.cpu, self.free_after_stops.cpu),
@@ -109,7 +109,7 @@
         health: Mapping[str, WorkerHealth],
         stopping: Collection[RunKey],
     ) -> "Fleet":
-        """Return the fleet that a ledger and the calls to its workers tell."""
+        """Return the fleet of a ledger, with the health of each worker and the stopping runs."""
         unknown = WorkerHealth(answers=False)
         workers = {
             incarnation.id: WorkerAllocation(
--- a/packages/agateferry-jobs/agateferry_jobs/planning/planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/planner.py
@@ -1,8 +1,9 @@
-"""The order in which waiting work starts, and what makes room for urgent work.
+"""The planner: which waiting subtasks start where, and which runs are preempted for urgent ones.
 
-Jobs are taken by rank, then by what they can still reach. A gang starts whole or not at all. What
-cannot start yet and is urgent takes runs of lower priority back, whole gangs at a time, those with
-least to lose first; room that becomes free is promised to it, so that later jobs do not take it.
+Jobs are planned by rank, then by whether they can still meet their objective. A gang starts whole
+or not at all. Urgent work that cannot start preempts runs of lower rank, whole gangs at a time, at
+the least loss of work. The resources that become free are reserved for it, so that jobs planned
+later do not get them.
 """
 
 from collections.abc import Iterator, Sequence
@@ -13,20 +14,20 @@
 from agateferry_jobs.ledger.commands import RunStart
 from agateferry_jobs.ledger.specs import StepSpec
 from agateferry_jobs.ledger.state import gang_of
-from agateferry_jobs.planning.choice import Chooser
 from agateferry_jobs.planning.fleet import AllocatedRun, Fleet, RunKey, WorkerAllocation
 from agateferry_jobs.planning.preemption_cost import PreemptionCost, WaitCost
 from agateferry_jobs.planning.ranks import BORROWED_RANK, rank_jobs
-from agateferry_jobs.planning.timing import Lateness, Timing, open_occurrence
+from agateferry_jobs.planning.timing import Lateness, Timing, first_unfinished_occurrence
+from agateferry_jobs.planning.worker_selection import WorkerSelector
 
-KEEP_SHARE = 0.05
-"""A gang that has waited for this share of its slack keeps room that becomes free for itself."""
-TAKE_BACK_SHARE = 0.7
-"""A gang that has waited for this share of its slack takes runs of lower ranks back."""
+RESERVE_AFTER_SLACK_SHARE = 0.05
+"""The share of its slack after which a waiting gang reserves resources that become free."""
+PREEMPT_AFTER_SLACK_SHARE = 0.7
+"""The share of its slack after which a waiting gang preempts runs of lower rank."""
 
 
 class PreemptionPolicy(Enum):
-    """What a wave that cannot start may do to others."""
+    """What ready subtasks that cannot start may do to other work."""
 
     WAIT = auto()
     RESERVE = auto()
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """A run to stop, and the job and the subtasks that its room is for."""
+    """A run to stop, and the id and the rank of the job that gets its resources."""
 
     key: RunKey
     run: Run
@@ -45,7 +46,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """What to start and what to stop."""
+    """The runs to start and the runs to stop."""
 
     starts: list[RunStart] = field(default_factory=list)
     stops: list[Stop] = field(default_factory=list)
@@ -53,23 +54,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadySubtasks:
-    """Subtasks of one step of one occurrence that may start now."""
+    """Subtasks of one step of one occurrence that may start now; `gang` is `K.STEP`."""
 
     job: Job
     gang: str
     step: StepSpec
     names: tuple[str, ...]
     rank: int
-    length_ms: int
+    expected_duration_ms: int
     waited_ms: int
     hopeless_after_ms: float
-    """The wait after which the job can reach nothing any more."""
-    waited_share: float
-    """The wait as a share of the job's slack."""
+    """The wait after which the job is hopeless, so that it would not even end late."""
+    waited_slack_share: float
+    """The wait as a share of the job's slack; it is above 1 for a job that is late."""
 
 
 class Planner:
-    """Make one plan from the ledger and the fleet as they stand."""
+    """Make one plan from the ledger and the fleet at one moment."""
 
     def __init__(self, ledger: Ledger, fleet: Fleet, now_ms: int) -> None:
         self._ledger = ledger
@@ -90,21 +91,21 @@
 
     def _waiting_jobs(self) -> list[Job]:
         jobs = [job for job in self._ledger.jobs.values() if not job.is_over]
-        return sorted(jobs, key=self._turn)
+        return sorted(jobs, key=self._sort_key)
 
-    def _turn(self, job: Job) -> tuple[int, int, float, str]:
-        """Return what jobs are ordered by.
+    def _sort_key(self, job: Job) -> tuple[int, int, float, str]:
+        """Return the sort key of jobs.
 
-        Urgent jobs go in the order in which they came. The others go by what they can still reach,
-        then by the time that they can still wait: the largest gang of a rank often waits longest
-        for its room, and a short job that is late anyway must not go before it.
+        Urgent jobs are planned in the order in which they were accepted. The others are ordered by
+        their lateness, then by the slack that is left: the largest gang of a rank often waits
+        longest for its workers, and a short job that is late anyway must not go before it.
         """
         rank = self._ranks[job.id]
         if rank <= BORROWED_RANK:
             return (rank, 0, job.accepted_ms, job.id)
-        waited = self._timing.waited_ms(job, open_occurrence(job), self._now_ms)
-        spare_ms = self._timing.slack_ms(job) - waited
-        return (rank, self._timing.lateness(job, waited), spare_ms, job.id)
+        waited = self._timing.waited_ms(job, first_unfinished_occurrence(job), self._now_ms)
+        remaining_slack_ms = self._timing.slack_ms(job) - waited
+        return (rank, self._timing.lateness(job, waited), remaining_slack_ms, job.id)
 
     def _ready_subtasks(self, job: Job) -> Iterator[ReadySubtasks]:
         for occurrence in range(job.spec.occurrences):
@@ -136,25 +137,25 @@
             step,
             names,
             rank=self._ranks[job.id],
-            length_ms=self._timing.length_ms(job, number),
+            expected_duration_ms=self._timing.expected_duration_ms(job, number),
             waited_ms=waited,
             hopeless_after_ms=self._timing.hopeless_after_ms(job),
-            waited_share=waited / max(1.0, self._timing.slack_ms(job)),
+            waited_slack_share=waited / max(1.0, self._timing.slack_ms(job)),
         )
 
     def _place(self, ready: ReadySubtasks) -> None:
-        chooser = Chooser(self._workers_for(ready.job), ready, self._ranks)
+        selector = WorkerSelector(self._workers_for(ready.job), ready, self._ranks)
         if ready.step.is_gang:
-            workers = chooser.whole()
+            workers = selector.select_for_gang()
             if workers is None:
-                self._make_room(ready, chooser, ready.names)
+                self._reserve_or_preempt(ready, selector, ready.names)
                 return
             self._start(ready, ready.names, workers)
             return
         for position, name in enumerate(ready.names):
-            worker = chooser.single()
+            worker = selector.select_for_subtask()
             if worker is None:
-                self._make_room(ready, chooser, ready.names[position:])
+                self._reserve_or_preempt(ready, selector, ready.names[position:])
                 return
             self._start(ready, (name,), (worker,))
 
@@ -176,41 +177,45 @@
             self._plan.starts.append(RunStart(job.id, name, run, checkpoint))
 
     def _checkpoint(self, ready: ReadySubtasks, names: Sequence[str]) -> str:
-        """Return the newest checkpoint; any member's serves its whole gang."""
+        """Return the newest checkpoint of these subtasks; one member's restores its whole gang."""
         subtasks = [ready.job.subtasks[name] for name in names]
-        saved = [each for each in subtasks if each.checkpoint]
-        return max(saved, key=lambda s: s.last_run).checkpoint if saved else ""
+        saved = [subtask for subtask in subtasks if subtask.checkpoint]
+        return max(saved, key=lambda subtask: subtask.last_run).checkpoint if saved else ""
 
-    def _make_room(self, ready: ReadySubtasks, chooser: Chooser, names: Sequence[str]) -> None:
-        """Promise room to what goes first, and take back what stands in its way where that pays."""
+    def _reserve_or_preempt(
+        self, ready: ReadySubtasks, selector: WorkerSelector, names: Sequence[str]
+    ) -> None:
+        """Reserve resources for subtasks that cannot start; preempt if the policy allows it."""
         policy = self._preemption_policy(ready)
         if policy is PreemptionPolicy.WAIT:
             return
-        takes_back = policy is PreemptionPolicy.PREEMPT
-        for worker, runs in chooser.room_for(
-            len(names), self._preemption_cost if takes_back else self._wait_cost
+        preempts = policy is PreemptionPolicy.PREEMPT
+        for worker, runs in selector.future_placements(
+            len(names), self._preemption_cost if preempts else self._wait_cost
         ):
-            if takes_back:
-                for run in runs:
-                    self._stop(run, ready)
+            if preempts:
+                for victim in runs:
+                    self._preempt(victim, ready)
             worker.reserve(ready.step.need)
 
     def _preemption_policy(self, ready: ReadySubtasks) -> PreemptionPolicy:
-        """Tell what a wave that cannot start may do to others."""
+        """Return what ready subtasks that cannot start may do to other work."""
         if ready.rank <= BORROWED_RANK:
             return PreemptionPolicy.PREEMPT
         if not ready.step.is_gang:
             return PreemptionPolicy.WAIT
         if self._timing.lateness(ready.job, ready.waited_ms) is not Lateness.IN_TIME:
             return PreemptionPolicy.WAIT
-        if ready.waited_share > TAKE_BACK_SHARE:
+        if ready.waited_slack_share > PREEMPT_AFTER_SLACK_SHARE:
             return PreemptionPolicy.PREEMPT
         return (
-            PreemptionPolicy.RESERVE if ready.waited_share > KEEP_SHARE else PreemptionPolicy.WAIT
+            PreemptionPolicy.RESERVE
+            if ready.waited_slack_share > RESERVE_AFTER_SLACK_SHARE
+            else PreemptionPolicy.WAIT
         )
 
-    def _stop(self, victim: AllocatedRun, ready: ReadySubtasks) -> None:
-        """Stop a run, and the other members with it where it belongs to a gang."""
+    def _preempt(self, victim: AllocatedRun, ready: ReadySubtasks) -> None:
+        """Stop a run, together with the other members if it belongs to a gang."""
         job = victim.job
         names = [victim.subtask]
         if job.step_of(victim.subtask).is_gang:
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
@@ -4,15 +4,15 @@
 from agateferry_jobs.ledger import Ledger, WorkerState, commands
 from agateferry_jobs.ledger.specs import Resources, StepSpec
 from agateferry_jobs.planning import Fleet, Planner, WorkerHealth
-from agateferry_jobs.planning.choice import RESERVED_PATIENCE_MS
+from agateferry_jobs.planning.worker_selection import GUARANTEED_RACK_WAIT_MS
 from agateferry_jobs.support import job_command, manifest, start_of, worker
 from agateferry_jobs.support.builders import SUBTASK_RESOURCES
 
-PATIENT_MS = 201
+ANY_WORKER_AFTER_MS = 201
 """The wait after which the least urgent work uses any worker; its slack is 1000 ms here."""
-WHOLE = Resources(cpu=1000, mem_mb=100, gpu=8)
+WHOLE_WORKER = Resources(cpu=1000, mem_mb=100, gpu=8)
 HOPELESS_MS = 23_000
-"""The wait after which 2.5 s of work reach nothing: three times 8.5 s, less the work itself."""
+"""When a job of 2.5 s is hopeless: three times its objective of 8.5 s, less its work."""
 
 
 class PlannerCase(testtools.TestCase):
@@ -36,34 +36,34 @@
         return Planner(self.ledger, fleet, now_ms).plan()
 
     def placed(self, now_ms=0):
-        """Return where each subtask goes, and store the starts."""
+        """Return the worker of each subtask that the plan starts, and apply the starts."""
         starts = self.plan(now_ms).starts
         self.do(commands.StartRuns(tuple(starts)))
         return {(s.job, s.subtask): s.run.worker for s in starts}
 
 
-class RoomTests(PlannerCase):
+class CapacityTests(PlannerCase):
     def test_no_worker_gets_more_than_it_has(self):
         self.add(worker("w1"))
         self.do(job_command("j", StepSpec(3, Resources(gpu=4))))
         self.assertEqual(2, len(self.placed()))
         self.assertEqual({}, self.placed())
 
-    def test_what_is_being_stopped_still_counts(self):
+    def test_a_stopping_run_still_holds_its_resources(self):
         self.add(worker("w1"))
-        self.do(job_command("j", StepSpec(1, WHOLE)))
+        self.do(job_command("j", StepSpec(1, WHOLE_WORKER)))
         self.placed()
         self.do(commands.CancelJob("j", 0))
-        self.do(job_command("k", StepSpec(1, WHOLE)))
+        self.do(job_command("k", StepSpec(1, WHOLE_WORKER)))
         self.assertEqual({}, self.placed())
 
-    def test_a_stray_run_takes_room(self):
-        self.do(job_command("j", StepSpec(1, WHOLE)))
+    def test_a_stray_run_holds_resources(self):
+        self.do(job_command("j", StepSpec(1, WHOLE_WORKER)))
         self.add(worker("w1"), strays=(("j", "0.0.0"),))
-        self.do(job_command("k", StepSpec(1, WHOLE)))
+        self.do(job_command("k", StepSpec(1, WHOLE_WORKER)))
         self.assertEqual({}, self.placed())
 
-    def test_draining_and_silent_workers_get_nothing(self):
+    def test_draining_and_unreachable_workers_get_nothing(self):
         self.add(worker("w1", state=WorkerState.DRAINING))
         self.add(worker("w2"), answers=False)
         self.do(job_command("j"))
@@ -72,7 +72,7 @@
     def test_a_suspect_worker_is_the_last_choice(self):
         self.add(worker("w1"), is_suspect=True)
         self.add(worker("w2"))
-        self.do(job_command("j", StepSpec(1, WHOLE)))
+        self.do(job_command("j", StepSpec(1, WHOLE_WORKER)))
         self.assertEqual({("j", "0.0.0"): "w2"}, self.placed())
 
     def test_small_subtasks_fill_a_worker_before_they_open_another(self):
@@ -112,9 +112,9 @@
         self.assertEqual({"w1", "w2"}, set(self.placed().values()))
         self.assertEqual({}, self.placed())
 
-    def test_data_is_waited_for_only_as_long_as_it_pays(self):
+    def test_a_subtask_waits_for_the_rack_of_its_data_for_a_limited_time(self):
         self.add(worker("w1", rack="far"), worker("w2", rack="near"))
-        self.do(job_command("big", StepSpec(1, WHOLE, required_label="near")))
+        self.do(job_command("big", StepSpec(1, WHOLE_WORKER, required_label="near")))
         self.placed()
         self.do(
             job_command("j", StepSpec(1, SUBTASK_RESOURCES, data_rack="near", estimated_ms=100))
@@ -126,14 +126,14 @@
 class GangTests(PlannerCase):
     def test_a_gang_starts_whole_or_not_at_all(self):
         self.add(worker("w1"))
-        self.do(job_command("j", StepSpec(2, WHOLE, is_gang=True)))
+        self.do(job_command("j", StepSpec(2, WHOLE_WORKER, is_gang=True)))
         self.assertEqual({}, self.placed())
         self.add(worker("w2"))
         self.assertEqual({"w1", "w2"}, set(self.placed().values()))
 
     def test_members_share_the_run_number(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("j", StepSpec(2, WHOLE, is_gang=True)))
+        self.do(job_command("j", StepSpec(2, WHOLE_WORKER, is_gang=True)))
         self.do(commands.StartRuns((start_of("j", "0.0.0", 4),)))
         end = commands.RunEnded(
             "j", "0.0.0", start_of("j", "0.0.0", 4).run, commands.RunOutcome.STOPPED, "saved"
@@ -144,20 +144,20 @@
 
     def test_one_rack_holds_the_gang(self):
         self.add(worker("a1", rack="a"), worker("b1", rack="b"), worker("b2", rack="b"))
-        self.do(job_command("j", StepSpec(2, WHOLE, is_gang=True, same_rack=True)))
+        self.do(job_command("j", StepSpec(2, WHOLE_WORKER, is_gang=True, same_rack=True)))
         self.assertEqual({"b1", "b2"}, set(self.placed().values()))
 
-    def test_a_gang_that_no_rack_can_ever_hold_is_spread(self):
+    def test_a_gang_that_fits_into_no_rack_spans_racks(self):
         self.add(worker("a1", rack="a"), worker("b1", rack="b"))
-        step = StepSpec(2, WHOLE, is_gang=True, same_rack=True, estimated_ms=9000)
+        step = StepSpec(2, WHOLE_WORKER, is_gang=True, same_rack=True, estimated_ms=9000)
         self.do(job_command("j", step))
         self.assertEqual({"a1", "b1"}, set(self.placed().values()))
 
-    def test_a_rack_with_a_silent_worker_is_waited_for(self):
-        """A worker that is cut off is back soon; across racks a gang is three times as slow."""
+    def test_a_gang_waits_for_a_rack_with_an_unreachable_worker(self):
+        """The worker is likely to be back soon; across racks a gang takes three times as long."""
         self.add(worker("a1", rack="a"), worker("b1", rack="b"))
         self.add(worker("b2", rack="b"), answers=False)
-        step = StepSpec(2, WHOLE, is_gang=True, same_rack=True, estimated_ms=9000)
+        step = StepSpec(2, WHOLE_WORKER, is_gang=True, same_rack=True, estimated_ms=9000)
         self.do(job_command("j", step))
         self.assertEqual({}, self.placed(74_999))
         self.assertEqual({"a1", "b1"}, set(self.placed(75_000).values()))
@@ -167,29 +167,29 @@
     def test_it_leaves_an_empty_worker_until_it_has_waited(self):
         self.add(worker("w1"))
         self.do(job_command("low", priority=2))
-        self.assertEqual({}, self.placed(PATIENT_MS - 1))
-        self.assertEqual({("low", "0.0.0"): "w1"}, self.placed(PATIENT_MS))
+        self.assertEqual({}, self.placed(ANY_WORKER_AFTER_MS - 1))
+        self.assertEqual({("low", "0.0.0"): "w1"}, self.placed(ANY_WORKER_AFTER_MS))
 
-    def test_it_does_not_fill_up_workers_of_others(self):
+    def test_it_does_not_share_workers_with_more_urgent_work(self):
         self.add(worker("w1"), worker("w2"), worker("w3"))
         self.do(job_command("gang", StepSpec(1, SUBTASK_RESOURCES), priority=1))
         self.do(job_command("low", priority=2))
         placed = self.placed()
         self.assertNotEqual(placed[("gang", "0.0.0")], placed[("low", "0.0.0")])
 
-    def test_it_shares_its_own_workers(self):
+    def test_it_shares_workers_with_its_peers(self):
         self.add(worker("w1"), worker("w2"))
         self.do(job_command("low", StepSpec(4, SUBTASK_RESOURCES), priority=2))
         self.assertEqual(1, len(set(self.placed().values())))
 
 
 class UrgentTests(PlannerCase):
-    def test_urgent_work_takes_back_the_least_that_makes_room(self):
+    def test_urgent_work_preempts_as_little_as_possible(self):
         self.add(worker("w1"), worker("w2"))
         self.do(job_command("low", StepSpec(2, Resources(gpu=6)), priority=2))
-        self.placed(PATIENT_MS)
+        self.placed(ANY_WORKER_AFTER_MS)
         self.do(job_command("small", StepSpec(1, Resources(gpu=2)), priority=2))
-        self.placed(PATIENT_MS)
+        self.placed(ANY_WORKER_AFTER_MS)
         self.do(job_command("urgent", StepSpec(1, Resources(gpu=2)), priority=0))
         self.assertEqual([], self.plan().stops)
         self.placed()
@@ -197,164 +197,164 @@
         stops = self.plan().stops
         self.assertEqual([("small", "0.0.0")], [stop.key for stop in stops])
 
-    def test_a_gang_is_taken_back_whole(self):
+    def test_a_gang_is_preempted_whole(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("low", StepSpec(2, WHOLE, is_gang=True), priority=1))
+        self.do(job_command("low", StepSpec(2, WHOLE_WORKER, is_gang=True), priority=1))
         self.placed()
-        self.do(job_command("urgent", StepSpec(1, WHOLE), priority=0))
+        self.do(job_command("urgent", StepSpec(1, WHOLE_WORKER), priority=0))
         self.assertEqual(
             {("low", "0.0.0"), ("low", "0.0.1")}, {stop.key for stop in self.plan().stops}
         )
 
-    def test_room_that_becomes_free_is_kept_for_the_one_it_was_freed_for(self):
+    def test_resources_of_a_preempted_run_are_reserved_for_the_preempting_job(self):
         self.add(worker("w1"))
         self.do(job_command("low", StepSpec(1, Resources(gpu=6)), priority=2))
-        self.placed(PATIENT_MS)
-        self.do(job_command("urgent", StepSpec(1, WHOLE), priority=0))
+        self.placed(ANY_WORKER_AFTER_MS)
+        self.do(job_command("urgent", StepSpec(1, WHOLE_WORKER), priority=0))
         self.do(job_command("late", StepSpec(1, SUBTASK_RESOURCES), priority=2))
         plan = self.plan()
         self.assertEqual([], plan.starts)
         self.stopping = {stop.key for stop in plan.stops}
         self.assertEqual(([], []), (self.plan().starts, self.plan().stops))
 
-    def test_a_gang_that_gets_late_takes_back_what_ranks_below_it(self):
+    def test_a_gang_short_of_slack_preempts_lower_ranks(self):
         self.add(worker("w1"))
-        self.do(job_command("low", StepSpec(1, WHOLE), priority=2))
-        self.placed(PATIENT_MS)
-        step = StepSpec(1, WHOLE, is_gang=True, estimated_ms=4500)
+        self.do(job_command("low", StepSpec(1, WHOLE_WORKER), priority=2))
+        self.placed(ANY_WORKER_AFTER_MS)
+        step = StepSpec(1, WHOLE_WORKER, is_gang=True, estimated_ms=4500)
         self.do(job_command("gang", step, priority=1))
         self.assertEqual([], self.plan(7000).stops)
         self.assertEqual([("low", "0.0.0")], [stop.key for stop in self.plan(7001).stops])
         self.assertEqual([], self.plan(10_001).stops)
 
-    def test_a_gang_that_waits_keeps_the_room_that_becomes_free(self):
+    def test_a_waiting_gang_reserves_what_becomes_free(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("low", StepSpec(1, WHOLE), priority=2))
-        self.placed(PATIENT_MS)
-        step = StepSpec(2, WHOLE, is_gang=True, estimated_ms=4500)
+        self.do(job_command("low", StepSpec(1, WHOLE_WORKER), priority=2))
+        self.placed(ANY_WORKER_AFTER_MS)
+        step = StepSpec(2, WHOLE_WORKER, is_gang=True, estimated_ms=4500)
         self.do(job_command("gang", step, priority=1))
         self.do(job_command("small", priority=2))
         self.assertEqual([("small", "0.0.0")], [(s.job, s.subtask) for s in self.plan(500).starts])
         self.assertEqual([], self.plan(501).starts)
 
-    def test_a_gang_that_waits_keeps_the_room_that_becomes_free_soonest(self):
-        """Seen on a heavy day: room was kept on the workers whose runs had begun last, and the
-        choice moved on with each new run, so that gangs of whole workers were never started."""
+    def test_a_waiting_gang_reserves_what_becomes_free_soonest(self):
+        """Under heavy load the planner reserved the workers whose runs had started last. The
+        reservation moved with each new run, so gangs of whole workers never started."""
         self.add(worker("w1"), worker("w2"))
-        for id, at_ms in (("old", PATIENT_MS), ("new", 3000)):
+        for id, at_ms in (("old", ANY_WORKER_AFTER_MS), ("new", 3000)):
             self.do(job_command(id, StepSpec(1, Resources(gpu=7), estimated_ms=4500), priority=2))
             self.do(commands.StartRuns(tuple(self.plan(at_ms + 2001).starts), at_ms))
-        step = StepSpec(1, WHOLE, is_gang=True, estimated_ms=4500)
+        step = StepSpec(1, WHOLE_WORKER, is_gang=True, estimated_ms=4500)
         self.do(job_command("gang", step, priority=1, at_ms=3000))
         small = StepSpec(2, SUBTASK_RESOURCES, estimated_ms=60_000)
         self.do(job_command("small", small, priority=1, at_ms=3001))
         starts = self.plan(4000).starts
         self.assertEqual({"w2"}, {start.run.worker for start in starts})
 
-    def test_work_that_is_not_urgent_takes_nothing_back(self):
+    def test_work_that_is_not_urgent_preempts_nothing(self):
         self.add(worker("w1"))
-        self.do(job_command("low", StepSpec(1, WHOLE), priority=2))
-        self.placed(PATIENT_MS)
-        self.do(job_command("j", StepSpec(1, WHOLE), priority=1))
+        self.do(job_command("low", StepSpec(1, WHOLE_WORKER), priority=2))
+        self.placed(ANY_WORKER_AFTER_MS)
+        self.do(job_command("j", StepSpec(1, WHOLE_WORKER), priority=1))
         self.assertEqual([], self.plan().stops)
 
 
-class ReserveTests(PlannerCase):
-    """The team of the manifest has eight accelerators reserved; nobody else has any."""
+class GuaranteeTests(PlannerCase):
+    """The manifest's team has a guarantee of eight accelerators; other teams have none."""
 
     def borrow(self, id, team, gpu, at_ms=0):
         command = job_command(id, StepSpec(1, Resources(gpu=gpu)), priority=0, at_ms=at_ms)
         self.do(msgspec.structs.replace(command, team=team))
 
-    def test_urgent_work_of_a_team_beyond_its_reserve_gives_way(self):
+    def test_urgent_work_beyond_the_guarantee_is_preempted(self):
         self.add(worker("w1"))
         self.borrow("borrowed", "other", 8)
         self.placed()
         self.borrow("reserved", "team", 8, at_ms=1)
         self.assertEqual([("borrowed", "0.0.0")], [stop.key for stop in self.plan().stops])
 
-    def test_borrowers_take_nothing_back_from_each_other(self):
+    def test_borrowers_do_not_preempt_each_other(self):
         self.add(worker("w1"))
         self.borrow("first", "other", 8)
         self.placed()
         self.borrow("second", "another", 8, at_ms=1)
         self.assertEqual([], self.plan().stops)
 
-    def test_work_within_the_reserve_is_never_taken_back(self):
+    def test_work_within_the_guarantee_is_never_preempted(self):
         self.add(worker("w1"))
         self.borrow("reserved", "team", 8)
         self.placed()
         self.borrow("borrowed", "other", 8, at_ms=1)
         self.assertEqual([], self.plan().stops)
 
-    def test_promised_work_does_not_wait_long_for_its_rack(self):
+    def test_work_within_the_guarantee_waits_briefly_for_its_rack(self):
         self.add(worker("a1", rack="a"), worker("b1", rack="b"))
         step = StepSpec(1, SUBTASK_RESOURCES, data_rack="c", estimated_ms=60_000)
         self.add(worker("c1", rack="c", state=WorkerState.READY), answers=True)
-        full = job_command("full", StepSpec(1, WHOLE, required_label="c"), priority=0)
+        full = job_command("full", StepSpec(1, WHOLE_WORKER, required_label="c"), priority=0)
         self.do(msgspec.structs.replace(full, team="other"))
         self.placed()
         self.do(job_command("j", step, priority=0))
-        self.assertEqual({}, self.placed(RESERVED_PATIENCE_MS - 1))
-        self.assertEqual(1, len(self.placed(RESERVED_PATIENCE_MS)))
+        self.assertEqual({}, self.placed(GUARANTEED_RACK_WAIT_MS - 1))
+        self.assertEqual(1, len(self.placed(GUARANTEED_RACK_WAIT_MS)))
 
-    def test_an_urgent_gang_waits_for_its_rack_while_room_is_made_there(self):
-        """A gang across racks takes three times as long, so it waits as long as its start allows.
+    def test_an_urgent_gang_waits_for_its_rack_while_runs_there_are_preempted(self):
+        """A gang across racks takes three times as long, so it waits for one until it is hopeless.
 
-        Seen on a quiet day: no rack was free for 0.8 s, and the gang ended late across racks.
+        When no rack was free for 0.8 s, a gang once started across racks at once and ended late.
         """
         self.add(worker("a1", rack="a"), worker("a2", rack="a"))
         self.add(worker("b1", rack="b"), worker("b2", rack="b"))
-        self.do(job_command("a", StepSpec(1, WHOLE, required_label="a"), priority=1))
-        self.do(job_command("b", StepSpec(1, WHOLE, required_label="b"), priority=1))
+        self.do(job_command("a", StepSpec(1, WHOLE_WORKER, required_label="a"), priority=1))
+        self.do(job_command("b", StepSpec(1, WHOLE_WORKER, required_label="b"), priority=1))
         self.placed()
         gang = StepSpec(2, Resources(gpu=8), is_gang=True, same_rack=True, estimated_ms=2500)
         self.do(msgspec.structs.replace(job_command("u", gang, priority=0), team="other"))
-        stops = self.plan(RESERVED_PATIENCE_MS).stops
+        stops = self.plan(GUARANTEED_RACK_WAIT_MS).stops
         self.assertEqual(1, len(stops))
         self.stopping = {stops[0].key}
         self.assertEqual([], self.plan(HOPELESS_MS - 1).starts)
         self.assertEqual(2, len(self.plan(HOPELESS_MS).starts))
 
 
-class TurnTests(PlannerCase):
-    """Which of several jobs of one rank goes first; the queue's stretch is 3, its target 1 s."""
+class OrderTests(PlannerCase):
+    """The order of jobs of one rank; the queue has a stretch of 3 and a target of 1 s."""
 
     def first(self, now_ms):
         return self.plan(now_ms).starts[0].job
 
-    def test_the_job_that_can_wait_least_goes_first(self):
+    def test_the_job_with_the_least_slack_left_goes_first(self):
         self.add(worker("w1"))
-        self.do(job_command("long", StepSpec(1, WHOLE, estimated_ms=4000), at_ms=0))
-        self.do(job_command("short", StepSpec(1, WHOLE, estimated_ms=100), at_ms=500))
+        self.do(job_command("long", StepSpec(1, WHOLE_WORKER, estimated_ms=4000), at_ms=0))
+        self.do(job_command("short", StepSpec(1, WHOLE_WORKER, estimated_ms=100), at_ms=500))
         self.assertEqual("short", self.first(600))
 
     def test_a_job_that_is_late_already_goes_after_those_in_time(self):
         self.add(worker("w1"))
-        self.do(job_command("late", StepSpec(1, WHOLE, estimated_ms=100), at_ms=0))
-        self.do(job_command("timely", StepSpec(1, WHOLE, estimated_ms=4000), at_ms=1000))
+        self.do(job_command("late", StepSpec(1, WHOLE_WORKER, estimated_ms=100), at_ms=0))
+        self.do(job_command("timely", StepSpec(1, WHOLE_WORKER, estimated_ms=4000), at_ms=1000))
         self.assertEqual("late", self.first(1200))
         self.assertEqual("timely", self.first(1201))
 
-    def test_urgent_jobs_go_in_the_order_in_which_they_came(self):
+    def test_urgent_jobs_go_in_the_order_of_acceptance(self):
         self.add(worker("w1"))
-        self.do(job_command("b", StepSpec(1, WHOLE, estimated_ms=4000), priority=0, at_ms=0))
-        self.do(job_command("a", StepSpec(1, WHOLE, estimated_ms=100), priority=0, at_ms=1))
+        self.do(job_command("b", StepSpec(1, WHOLE_WORKER, estimated_ms=4000), priority=0, at_ms=0))
+        self.do(job_command("a", StepSpec(1, WHOLE_WORKER, estimated_ms=100), priority=0, at_ms=1))
         self.assertEqual("b", self.first(2))
 
 
-class LossTests(PlannerCase):
-    def test_the_run_with_the_least_work_behind_it_is_taken_back(self):
+class PreemptionCostTests(PlannerCase):
+    def test_the_run_with_the_least_lost_work_is_preempted(self):
         self.add(worker("w1"))
-        for id, at_ms in (("old", PATIENT_MS), ("new", 9000)):
+        for id, at_ms in (("old", ANY_WORKER_AFTER_MS), ("new", 9000)):
             self.do(job_command(id, StepSpec(1, Resources(gpu=4)), priority=2))
             self.do(commands.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
         self.do(job_command("urgent", StepSpec(1, Resources(gpu=4)), priority=0))
         self.assertEqual([("new", "0.0.0")], [stop.key for stop in self.plan(9500).stops])
 
-    def test_a_run_that_saves_loses_little(self):
+    def test_a_run_that_saves_checkpoints_loses_little(self):
         self.add(worker("w1"))
-        for id, saves, at_ms in (("saves", True, PATIENT_MS), ("new", False, 5000)):
+        for id, saves, at_ms in (("saves", True, ANY_WORKER_AFTER_MS), ("new", False, 5000)):
             step = StepSpec(1, Resources(gpu=4), saves_checkpoints=saves)
             self.do(job_command(id, step, priority=2))
             self.do(commands.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
@@ -2,7 +2,7 @@
 
 from agateferry_jobs.ledger import Ledger, commands
 from agateferry_jobs.ledger.specs import StepSpec
-from agateferry_jobs.planning.timing import Lateness, Timing, open_occurrence
+from agateferry_jobs.planning.timing import Lateness, Timing, first_unfinished_occurrence
 from agateferry_jobs.support import job_command, manifest, start_of
 from agateferry_jobs.support.builders import SUBTASK_RESOURCES
 
@@ -19,12 +19,12 @@
     def do(self, command):
         self.ledger.apply(1, commands.encode(command))
 
-    def job_of(self, *steps, id="j", **when):
-        self.do(job_command(id, *steps, **when))
+    def job_of(self, *steps, id="j", **schedule):
+        self.do(job_command(id, *steps, **schedule))
         return self.ledger.jobs[id]
 
     def finish(self, id, took_ms):
-        """Run the first subtask of a job to its end."""
+        """Start the first subtask of a job and end it as done after `took_ms`."""
         start = start_of(id, "0.0.0")
         self.do(commands.StartRuns((start,), 0))
         self.do(
@@ -35,15 +35,15 @@
 
 
 class SlackTests(TimingCase):
-    def test_the_chain_follows_the_longest_dependencies(self):
+    def test_the_critical_path_is_the_longest_chain_of_dependent_steps(self):
         steps = (
             StepSpec(1, SUBTASK_RESOURCES, estimated_ms=100),
             StepSpec(1, SUBTASK_RESOURCES, estimated_ms=500),
             StepSpec(1, SUBTASK_RESOURCES, estimated_ms=30, depends_on=(0,)),
         )
-        self.assertEqual(500, self.timing.chain_ms(self.job_of(*steps)))
+        self.assertEqual(500, self.timing.critical_path_ms(self.job_of(*steps)))
 
-    def test_slack_is_what_the_objective_leaves_beside_the_work(self):
+    def test_slack_is_the_objective_less_the_work(self):
         job = self.job_of(StepSpec(1, SUBTASK_RESOURCES, estimated_ms=2000))
         self.assertEqual(5000, self.timing.slack_ms(job))
         self.assertEqual(0, Timing(Ledger()).slack_ms(job))
@@ -58,20 +58,23 @@
         ):
             self.assertEqual(expected, self.timing.lateness(job, waited))
 
-    def test_slack_rests_on_what_runs_of_the_queue_really_took(self):
-        """Seen on a heavy day: gangs declared a quarter of their length, so they counted as late
-        after a few seconds, went behind all others and were never started."""
+    def test_slack_follows_the_measured_durations_of_the_queue(self):
+        """Gangs that declared a quarter of their duration counted as late after a few seconds, were
+        planned behind all other jobs and never started under heavy load."""
         for number, declared_ms in enumerate((1000, 3000, 14_000, 800, 2500)):
             id = f"done{number}"
             self.job_of(StepSpec(1, SUBTASK_RESOURCES, estimated_ms=declared_ms), id=id)
             self.finish(id, 8000)
         job = self.job_of(StepSpec(1, SUBTASK_RESOURCES, estimated_ms=2000))
-        self.assertTrue(7000 < self.timing.length_ms(job, 0) < 8000, self.timing.length_ms(job, 0))
+        self.assertTrue(
+            7000 < self.timing.expected_duration_ms(job, 0) < 8000,
+            self.timing.expected_duration_ms(job, 0),
+        )
         self.assertIs(Lateness.IN_TIME, self.timing.lateness(job, 12_000))
 
 
 class WaitTests(TimingCase):
-    def test_what_a_job_has_done_is_no_wait(self):
+    def test_the_duration_of_done_steps_is_no_wait(self):
         first = StepSpec(1, SUBTASK_RESOURCES, estimated_ms=1000)
         job = self.job_of(first, StepSpec(1, SUBTASK_RESOURCES, estimated_ms=1000, depends_on=(0,)))
         self.assertEqual(1500, self.timing.waited_ms(job, 0, 1500))
@@ -80,6 +83,10 @@
 
     def test_an_occurrence_waits_from_its_due_time(self):
         job = self.job_of(start_at_ms=1000, interval_ms=500, repeat_count=2)
-        self.assertEqual((0, 600), (open_occurrence(job), self.timing.waited_ms(job, 0, 1600)))
+        self.assertEqual(
+            (0, 600), (first_unfinished_occurrence(job), self.timing.waited_ms(job, 0, 1600))
+        )
         self.finish("j", 1000)
-        self.assertEqual((1, 100), (open_occurrence(job), self.timing.waited_ms(job, 1, 1600)))
+        self.assertEqual(
+            (1, 100), (first_unfinished_occurrence(job), self.timing.waited_ms(job, 1, 1600))
+        )
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
@@ -45,7 +45,7 @@
     placed: list[tuple[str, WorkerAllocation]] = []
     for name in waiting:
         step = job.step_of(name)
-        worker = next((s for s in workers if s.takes_work and s.has_room(step)), None)
+        worker = next((s for s in workers if s.accepts_runs and s.fits_now(step)), None)
         if worker is None:
             break
         worker.allocate(job, name)
