--- a/packages/agateferry-jobs/agateferry_jobs/ledger/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""What was accepted, what runs where and how it ended: the replicated state of jobs."""
+"""The replicated state of jobs: which were accepted, where they run and how they ended."""
 
 from agateferry_jobs.ledger.ledger import Ledger
 from agateferry_jobs.ledger.state import Job, JobState, Run, Subtask, WorkerIncarnation, WorkerState
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/commands.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the replicated ledger, and their bytes."""
+"""The commands of the replicated ledger and their encoding."""
 
 from enum import StrEnum
 
@@ -11,7 +11,11 @@
 
 
 class RunOutcome(StrEnum):
-    """How a run ended; `LOST` and `REFUSED` are concluded here, the others told by the worker."""
+    """How a run ended.
+
+    Workers report all outcomes but two, which the leader concludes: `LOST` if the worker is gone or
+    no longer lists the run, `REFUSED` if it never started the run. `LAPSED` is an expired lease.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -24,7 +28,7 @@
 
 
 class RunStart(Struct, frozen=True):
-    """The intent to start a subtask; it is stored before the order goes out."""
+    """The intent to start a subtask; it is stored before the order is sent to the worker."""
 
     job: str
     subtask: str
@@ -33,7 +37,7 @@
 
 
 class RunEnded(Struct, frozen=True):
-    """The end of one run, with the newest checkpoint known."""
+    """The end of one run, with its newest known checkpoint."""
 
     job: str
     subtask: str
@@ -43,13 +47,13 @@
 
 
 class PutManifest(Struct, frozen=True, tag="manifest"):
-    """Bring a manifest in force where its version is the highest."""
+    """Put a manifest into force if its version is higher than that of the current one."""
 
     manifest: Manifest
 
 
 class AcceptJob(Struct, frozen=True, tag="accept"):
-    """Store a job."""
+    """Accept a job; a second command with the same id changes nothing."""
 
     id: str
     queue: str
@@ -62,27 +66,27 @@
 
 
 class CancelJob(Struct, frozen=True, tag="cancel"):
-    """End a job by its caller's wish."""
+    """Cancel a job at its caller's request."""
 
     id: str
     at_ms: int
 
 
 class NoteWorker(Struct, frozen=True, tag="worker"):
-    """Store a worker's life, or its new state."""
+    """Record a worker's incarnation, or its new state."""
 
     worker: WorkerIncarnation
 
 
 class StartRuns(Struct, frozen=True, tag="start"):
-    """Store the intent to start subtasks."""
+    """Record the intent to start subtasks; starts that contradict the ledger are dropped."""
 
     starts: tuple[RunStart, ...]
     at_ms: int = 0
 
 
 class EndRuns(Struct, frozen=True, tag="end"):
-    """Store how runs ended."""
+    """Record how runs ended."""
 
     ends: tuple[RunEnded, ...]
     at_ms: int
@@ -95,10 +99,10 @@
 
 
 def encode(command: Command) -> bytes:
-    """Return the bytes of a command."""
+    """Encode a command."""
     return _encoder.encode(command)
 
 
 def decode(data: bytes) -> Command:
-    """Read the bytes of a command; raises msgspec.DecodeError where they are none."""
+    """Decode a command; raises msgspec.DecodeError if the bytes are not one."""
     return _decoder.decode(data)
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
@@ -1,8 +1,8 @@
-"""The replicated ledger: a deterministic function of its commands.
+"""The replicated ledger: a deterministic state machine over its commands.
 
-Every decision that callers or workers may see is stored here first. A start that contradicts what
-the ledger holds (a cancelled job, a subtask that already runs) is left out when it is applied, and
-only the starts that were taken come back as the outcome.
+Every decision that callers or workers may see is stored here first. A start that contradicts the
+ledger (a cancelled job, a subtask that already runs) is dropped when the command is applied, and
+only the accepted starts are returned as the result.
 """
 
 from typing import Any
@@ -23,24 +23,24 @@
 )
 from agateferry_jobs.manifest import Manifest
 
-RETAIN_MS = 300_000
-"""How long the state of a job that ended can be asked for; over twice the platform's longest."""
+ENDED_JOB_RETENTION_MS = 300_000
+"""How long the state of an ended job can be queried; over twice the platform's longest query."""
 
 
 class State(Struct):
-    """All that the ledger holds."""
+    """The whole state of the ledger, as its snapshots store it."""
 
     manifest: Manifest | None = None
     jobs: dict[str, Job] = field(default_factory=dict)
     workers: dict[str, WorkerIncarnation] = field(default_factory=dict)
     gone: dict[str, int] = field(default_factory=dict)
-    """For each worker that left, the start of its last life; its late words are dropped."""
-    lengths: dict[str, DurationEstimate] = field(default_factory=dict)
+    """For each worker that left, `born` of its last incarnation; later news of that is ignored."""
+    durations: dict[str, DurationEstimate] = field(default_factory=dict, name="lengths")
     """How long runs really take, by queue."""
 
 
 class Ledger:
-    """Apply commands to jobs and workers; also the state machine of the replicated log."""
+    """The jobs and workers, and the state machine that the replicated log drives."""
 
     def __init__(self) -> None:
         self.state = State()
@@ -59,16 +59,16 @@
 
     @property
     def workers(self) -> dict[str, WorkerIncarnation]:
-        """Return the newest life of each worker by id."""
+        """Return the newest incarnation of each worker by id."""
         return self.state.workers
 
     def expected_duration_ms(self, queue: str, declared_ms: int) -> int:
-        """Return how long a subtask of a queue takes, as far as its runs so far tell."""
-        record = self.state.lengths.get(queue)
-        return record.expected_duration_ms(declared_ms) if record is not None else declared_ms
+        """Return how long a subtask of a queue is expected to run, given its declared duration."""
+        estimate = self.state.durations.get(queue)
+        return estimate.expected_duration_ms(declared_ms) if estimate is not None else declared_ms
 
     def apply(self, index: int, command: bytes) -> Any:
-        """Apply one command and return its outcome."""
+        """Apply one command and return its result."""
         match commands.decode(command):
             case commands.PutManifest(manifest):
                 return self._put_manifest(manifest)
@@ -77,14 +77,14 @@
             case commands.CancelJob(id, at_ms):
                 return self._cancel(id, at_ms)
             case commands.NoteWorker(worker):
-                return self._note_worker(worker)
+                return self._record_worker(worker)
             case commands.StartRuns(starts, at_ms):
                 return tuple(start for start in starts if self._start(start, at_ms))
             case commands.EndRuns(ends, at_ms):
                 return tuple(end for end in ends if self._end(end, at_ms))
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Encode the whole state."""
         return self._encoder.encode(self.state)
 
     def restore(self, data: bytes) -> None:
@@ -101,7 +101,7 @@
     def _accept(self, command: commands.AcceptJob) -> bool:
         if command.id in self.jobs:
             return False
-        self._forget_old(command.at_ms)
+        self._drop_expired_jobs(command.at_ms)
         job = Job(
             id=command.id,
             queue=command.queue,
@@ -116,9 +116,9 @@
         self.jobs[job.id] = job
         return True
 
-    def _forget_old(self, now_ms: int) -> None:
+    def _drop_expired_jobs(self, now_ms: int) -> None:
         for job in list(self.jobs.values()):
-            if job.is_over and not job.subtasks and now_ms - job.ended_ms > RETAIN_MS:
+            if job.is_over and not job.subtasks and now_ms - job.ended_ms > ENDED_JOB_RETENTION_MS:
                 del self.jobs[job.id]
 
     def _cancel(self, id: str, at_ms: int) -> bool:
@@ -128,10 +128,10 @@
         if not job.is_over:
             job.is_cancelled = True
             job.ended_ms = at_ms
-            _drop_idle(job)
+            _drop_inactive_subtasks(job)
         return True
 
-    def _note_worker(self, worker: WorkerIncarnation) -> bool:
+    def _record_worker(self, worker: WorkerIncarnation) -> bool:
         known = self.workers.get(worker.id)
         if known is not None and worker.born < known.born:
             return False
@@ -141,7 +141,7 @@
             self.workers.pop(worker.id, None)
             self.state.gone[worker.id] = worker.born
             return known is not None
-        if known is not None and known.born == worker.born and _is_step_back(known, worker):
+        if known is not None and known.born == worker.born and _is_stale(known, worker):
             return False
         self.workers[worker.id] = worker
         return True
@@ -171,27 +171,31 @@
         was_active = subtask.active == end.run
         if was_active:
             subtask.active = None
-            self._note_length(job, subtask, end, at_ms)
+            self._record_duration(job, subtask, end, at_ms)
         if end.checkpoint and end.run.number == subtask.last_run:
             subtask.checkpoint = end.checkpoint
-        self._count(job, subtask, end, was_active)
-        _settle(job, at_ms)
+        self._record_outcome(job, subtask, end, was_active)
+        _update_job_end(job, at_ms)
         if job.is_over:
-            _drop_idle(job)
+            _drop_inactive_subtasks(job)
         return was_active or end.outcome is commands.RunOutcome.DONE
 
-    def _note_length(self, job: Job, subtask: Subtask, end: commands.RunEnded, at_ms: int) -> None:
-        """Learn from a run that did all of its work by itself."""
+    def _record_duration(
+        self, job: Job, subtask: Subtask, end: commands.RunEnded, at_ms: int
+    ) -> None:
+        """Record the duration of a run that did all the work of its subtask by itself."""
         step = job.step_of(end.subtask)
         if (
             end.outcome is commands.RunOutcome.DONE
             and not step.is_long_running
             and not subtask.checkpoint
         ):
-            record = self.state.lengths.setdefault(job.queue, DurationEstimate())
-            record.note(step.estimated_ms, at_ms - subtask.started_ms)
+            estimate = self.state.durations.setdefault(job.queue, DurationEstimate())
+            estimate.record(step.estimated_ms, at_ms - subtask.started_ms)
 
-    def _count(self, job: Job, subtask: Subtask, end: commands.RunEnded, was_active: bool) -> None:
+    def _record_outcome(
+        self, job: Job, subtask: Subtask, end: commands.RunEnded, was_active: bool
+    ) -> None:
         step = job.step_of(end.subtask)
         if end.outcome is commands.RunOutcome.DONE and not step.is_long_running:
             _mark_done(job, end)
@@ -203,13 +207,13 @@
                 gang.failures += 1
 
 
-def _is_step_back(known: WorkerIncarnation, word: WorkerIncarnation) -> bool:
-    """Tell whether a word is older than what is known: a life that drains is never ready again."""
-    return known.state is WorkerState.DRAINING and word.state is WorkerState.READY
+def _is_stale(known: WorkerIncarnation, update: WorkerIncarnation) -> bool:
+    """Tell whether an update is outdated: an incarnation that drains is never ready again."""
+    return known.state is WorkerState.DRAINING and update.state is WorkerState.READY
 
 
 def _mark_done(job: Job, end: commands.RunEnded) -> None:
-    """Note a subtask as done; one member's end stands for its whole gang."""
+    """Mark a subtask as done, and with it all members of its gang."""
     names = [end.subtask]
     if job.step_of(end.subtask).is_gang:
         names = job.members(gang_of(end.subtask))
@@ -218,8 +222,8 @@
             job.subtasks[name].is_done = True
 
 
-def _settle(job: Job, at_ms: int) -> None:
-    """Work out whether the job completed or failed."""
+def _update_job_end(job: Job, at_ms: int) -> None:
+    """Mark a job as completed or failed if its subtasks say so."""
     if job.is_over:
         return
     if all(subtask.is_done for subtask in job.subtasks.values()):
@@ -239,8 +243,8 @@
             return
 
 
-def _drop_idle(job: Job) -> None:
-    """Keep only the subtasks that still hold a worker."""
+def _drop_inactive_subtasks(job: Job) -> None:
+    """Remove the subtasks without an active run, whose state is no longer needed."""
     job.subtasks = {name: s for name, s in job.subtasks.items() if s.active is not None}
 
 
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
@@ -1,4 +1,4 @@
-"""What a caller asks for: a job's steps and when they run."""
+"""What a caller submits: a job's steps and when they run."""
 
 from collections.abc import Sequence
 
@@ -6,15 +6,15 @@
 
 
 class Resources(Struct, frozen=True):
-    """What a subtask needs or a worker has: thousandths of a core, MB of memory, accelerators."""
+    """Resources of a subtask or a worker: `cpu` in thousandths of a core, accelerators as `gpu`."""
 
     cpu: int = 0
     mem_mb: int = 0
     gpu: int = 0
 
-    def fits(self, room: "Resources") -> bool:
-        """Tell whether this fits into `room`."""
-        return self.cpu <= room.cpu and self.mem_mb <= room.mem_mb and self.gpu <= room.gpu
+    def fits(self, free: "Resources") -> bool:
+        """Tell whether these resources fit into `free`."""
+        return self.cpu <= free.cpu and self.mem_mb <= free.mem_mb and self.gpu <= free.gpu
 
     def plus(self, other: "Resources") -> "Resources":
         """Return the sum."""
@@ -26,31 +26,46 @@
 
 
 class StepSpec(Struct, frozen=True):
-    """Subtasks that are alike; see docs/design/platform.md for what each field asks of placing."""
+    """A step of a job: `count` equal subtasks; see docs/design/platform.md for each field."""
 
     count: int
     need: Resources
+    """What each subtask needs."""
     estimated_ms: int = 0
+    """The duration of a subtask that the caller declares; 0 if it declares none."""
     depends_on: tuple[int, ...] = ()
+    """The numbers of the steps that must be done before this one starts."""
     is_gang: bool = False
+    """Whether the subtasks form a gang: they start together, and one that is done completes all."""
     same_rack: bool = False
+    """Whether a gang prefers one rack; across racks it takes three times as long."""
     required_label: str = ""
+    """A label that a worker must have to run a subtask; empty for any worker."""
     data_rack: str = ""
+    """The rack that holds the data; on other racks a subtask takes three times as long."""
     max_per_worker: int = 0
+    """How many subtasks of one occurrence may run on one worker; 0 for no limit."""
     saves_checkpoints: bool = False
+    """Whether a run saves checkpoints, so that little work is lost when it is stopped."""
     is_speculative: bool = field(default=False, name="may_copy")
+    """Whether a slow subtask may get a speculative copy; stored, but not used yet."""
     is_long_running: bool = field(default=False, name="lasts")
+    """Whether the subtasks have no end: they are never done, and the job never completes."""
     image: str = ""
+    """The image that the subtasks run; stored, but not used yet."""
     target_ms: int = 0
+    """Stored as submitted, but not used yet."""
     fills: bool = False
+    """Stored as submitted, but not used yet."""
     max_unavailable: int = 0
+    """Stored as submitted, but not used yet."""
 
 
 class JobSpec(Struct, frozen=True):
-    """A job as handed in; `payload` goes to the workers as it is.
+    """A job as submitted; `payload` is passed on to the workers unchanged.
 
-    A job with `repeat_count` runs that many times, occurrence K at `start_at_ms` plus K times
-    `interval_ms`, in milliseconds since the Unix epoch.
+    A job with `repeat_count` has that many occurrences. Occurrence K, counted from 0, starts at
+    `start_at_ms` plus K times `interval_ms`, in milliseconds since the Unix epoch.
     """
 
     payload: str
@@ -61,25 +76,25 @@
 
     @property
     def occurrences(self) -> int:
-        """Return how many times the steps run."""
+        """Return how many times the job's steps run."""
         return max(1, self.repeat_count)
 
     def due_ms(self, occurrence: int) -> int:
-        """Return when an occurrence may start, or 0 for at once."""
+        """Return when an occurrence may start, in ms since the Unix epoch; 0 for at once."""
         if not self.repeat_count:
             return 0
         return self.start_at_ms + occurrence * self.interval_ms
 
 
 def declared_critical_path_ms(spec: JobSpec) -> int:
-    """Return the longest chain of declared lengths through a job's steps."""
+    """Return the declared duration of the critical path through a job's steps."""
     return critical_path_ms(spec.steps, [step.estimated_ms for step in spec.steps])
 
 
-def critical_path_ms(steps: Sequence[StepSpec], lengths_ms: Sequence[int]) -> int:
-    """Return the longest chain through steps of the given lengths."""
+def critical_path_ms(steps: Sequence[StepSpec], durations_ms: Sequence[int]) -> int:
+    """Return the duration of the longest chain of dependent steps."""
     ends: list[int] = []
-    for step, length_ms in zip(steps, lengths_ms, strict=True):
+    for step, duration_ms in zip(steps, durations_ms, strict=True):
         begin = max((ends[earlier] for earlier in step.depends_on), default=0)
-        ends.append(begin + length_ms)
+        ends.append(begin + duration_ms)
     return max(ends, default=0)
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/state.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/state.py
@@ -1,4 +1,4 @@
-"""The records that the ledger keeps; all of it goes into its snapshots."""
+"""The records that the ledger keeps; its snapshots contain all of them."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class JobState(StrEnum):
-    """How far a job got, as its callers see it."""
+    """The state of a job, as its callers see it."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -18,7 +18,7 @@
 
 
 class WorkerState(StrEnum):
-    """Whether a worker takes work."""
+    """Whether a worker accepts new runs."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -26,7 +26,7 @@
 
 
 class WorkerIncarnation(Struct):
-    """One life of a worker: `born` differs where it starts again under the same id."""
+    """One incarnation of a worker; `born` grows each time a worker starts again under its id."""
 
     id: str
     born: int
@@ -41,12 +41,12 @@
 
     @property
     def rack(self) -> str:
-        """Return the rack, which is the label after the worker's kind."""
+        """Return the rack, which is the second label, after the worker's kind."""
         return self.labels[1] if len(self.labels) > 1 else ""
 
 
 class Run(Struct, frozen=True):
-    """One start of a subtask on one life of a worker."""
+    """One run of a subtask on one incarnation of a worker."""
 
     number: int
     worker: str
@@ -54,7 +54,7 @@
 
 
 class Subtask(Struct):
-    """One subtask: its newest run number, the run that holds a worker, and what it reached."""
+    """One subtask: its newest run number, its active run if it has one, and its progress."""
 
     last_run: int = 0
     failures: int = 0
@@ -73,7 +73,7 @@
 
 
 class Job(Struct):
-    """An accepted job. Subtasks are kept by name, `K.STEP.INDEX`; gangs by `K.STEP`."""
+    """An accepted job. Subtasks have the key `OCCURRENCE.STEP.INDEX`, gangs `OCCURRENCE.STEP`."""
 
     id: str
     queue: str
@@ -93,12 +93,12 @@
 
     @property
     def is_over(self) -> bool:
-        """Tell whether nothing of this job may start any more."""
+        """Tell whether the job has ended, so that none of its subtasks may start."""
         return self.is_cancelled or self.is_failed or self.is_completed
 
     @property
     def state(self) -> JobState:
-        """Return how far the job got."""
+        """Return the state that callers see."""
         if self.is_completed:
             return JobState.COMPLETED
         if self.is_cancelled:
@@ -112,12 +112,12 @@
         return self.spec.steps[step_number(name)]
 
     def members(self, gang: str) -> list[str]:
-        """Return the names of the subtasks of one step of one occurrence."""
+        """Return the names of all subtasks of one step of one occurrence, `OCCURRENCE.STEP`."""
         step = self.spec.steps[step_number(gang)]
         return [f"{gang}.{index}" for index in range(step.count)]
 
     def is_gang_broken(self, name: str) -> bool:
-        """Tell whether a subtask belongs to a gang of which another member does not run."""
+        """Tell whether a subtask belongs to a gang that has a member without an active run."""
         if not self.step_of(name).is_gang:
             return False
         return any(
@@ -126,15 +126,15 @@
         )
 
     def is_step_done(self, occurrence: int, step: int) -> bool:
-        """Tell whether all subtasks of a step ended as done."""
+        """Tell whether all subtasks of a step of one occurrence are done."""
         return all(self.subtasks[name].is_done for name in self.members(f"{occurrence}.{step}"))
 
 
 def step_number(name: str) -> int:
-    """Return STEP for a subtask's name `K.STEP.INDEX`, or for a gang's `K.STEP`."""
+    """Return the step number in a subtask's or a gang's name."""
     return int(name.split(".")[1])
 
 
 def gang_of(name: str) -> str:
-    """Return `K.STEP` for a subtask's name `K.STEP.INDEX`."""
+    """Return `OCCURRENCE.STEP` for a subtask's name `OCCURRENCE.STEP.INDEX`."""
     return name.rpartition(".")[0]
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
@@ -9,27 +9,27 @@
 
 
 class ExpectedTests(testtools.TestCase):
-    def record(self, *pairs):
-        record = DurationEstimate()
+    def estimate(self, *pairs):
+        estimate = DurationEstimate()
         for declared_ms, real_ms in pairs:
-            record.note(declared_ms, real_ms)
-        return record
+            estimate.record(declared_ms, real_ms)
+        return estimate
 
-    def test_few_runs_say_nothing(self):
-        record = self.record(*[(1000, 8000)] * (MIN_RUNS - 1))
-        self.assertEqual(500, record.expected_duration_ms(500))
+    def test_few_runs_leave_the_declared_duration(self):
+        estimate = self.estimate(*[(1000, 8000)] * (MIN_RUNS - 1))
+        self.assertEqual(500, estimate.expected_duration_ms(500))
 
-    def test_exact_declarations_are_believed(self):
-        record = self.record((1000, 1000), (2000, 2000), (4000, 4000), (8000, 8000))
-        self.assertTrue(2800 < record.expected_duration_ms(3000) < 3200)
+    def test_exact_declarations_outweigh_past_runs(self):
+        estimate = self.estimate((1000, 1000), (2000, 2000), (4000, 4000), (8000, 8000))
+        self.assertTrue(2800 < estimate.expected_duration_ms(3000) < 3200)
 
-    def test_wild_declarations_give_way_to_what_runs_took(self):
-        record = self.record((800, 8000), (15_000, 8000), (2000, 8100), (1500, 7900))
-        self.assertTrue(7500 < record.expected_duration_ms(1000) < 8100)
+    def test_past_runs_outweigh_wrong_declarations(self):
+        estimate = self.estimate((800, 8000), (15_000, 8000), (2000, 8100), (1500, 7900))
+        self.assertTrue(7500 < estimate.expected_duration_ms(1000) < 8100)
 
-    def test_what_was_never_declared_is_no_evidence(self):
-        record = self.record(*[(0, 8000)] * MIN_RUNS)
-        self.assertEqual((0, 700), (record.runs, record.expected_duration_ms(700)))
+    def test_runs_without_a_declared_duration_are_ignored(self):
+        estimate = self.estimate(*[(0, 8000)] * MIN_RUNS)
+        self.assertEqual((0, 700), (estimate.runs, estimate.expected_duration_ms(700)))
 
 
 class LedgerTests(testtools.TestCase):
@@ -48,13 +48,13 @@
             self.ledger.jobs[id].subtasks["0.0.0"].checkpoint = checkpoint
         self.do(commands.EndRuns((commands.RunEnded(id, "0.0.0", start.run, outcome),), 4100))
 
-    def test_runs_that_did_all_their_work_count(self):
+    def test_only_runs_that_did_all_the_work_count(self):
         self.end("done", commands.RunOutcome.DONE)
         self.end("failed", commands.RunOutcome.FAILED)
         self.end("resumed", commands.RunOutcome.DONE, checkpoint="saved")
-        self.assertEqual(1, self.ledger.state.lengths["queue"].runs)
+        self.assertEqual(1, self.ledger.state.durations["queue"].runs)
 
-    def test_they_survive_a_snapshot(self):
+    def test_estimates_survive_a_snapshot(self):
         for number in range(MIN_RUNS):
             self.end(f"j{number}", commands.RunOutcome.DONE)
         before = self.ledger.expected_duration_ms("queue", 1000)
@@ -62,8 +62,8 @@
         self.assertEqual(before, self.ledger.expected_duration_ms("queue", 1000))
         self.assertTrue(before > 1000)
 
-    def test_a_snapshot_from_before_is_read(self):
+    def test_a_snapshot_without_durations_is_read(self):
         state = msgspec.msgpack.decode(self.ledger.snapshot())
         del state["lengths"]
         self.ledger.restore(msgspec.msgpack.encode(state))
-        self.assertEqual({}, self.ledger.state.lengths)
+        self.assertEqual({}, self.ledger.state.durations)
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
@@ -27,7 +27,7 @@
 
 
 class JobTests(LedgerCase):
-    def test_a_job_handed_in_twice_is_one_job(self):
+    def test_a_job_submitted_twice_is_one_job(self):
         self.assertTrue(self.do(job_command("j")))
         self.assertFalse(self.do(job_command("j")))
         self.assertEqual(JobState.QUEUED, self.ledger.jobs["j"].state)
@@ -40,16 +40,16 @@
         self.end("j", "0.0.1", commands.RunOutcome.DONE)
         self.assertEqual(JobState.COMPLETED, self.ledger.jobs["j"].state)
 
-    def test_only_failed_ends_count_as_attempts(self):
+    def test_only_failed_runs_count_as_attempts(self):
         self.do(job_command("j", attempts=2))
-        kinds = (
+        outcomes = (
             commands.RunOutcome.LAPSED,
             commands.RunOutcome.FAILED,
             commands.RunOutcome.STOPPED,
             commands.RunOutcome.BROKEN,
             commands.RunOutcome.LOST,
         )
-        for number, outcome in enumerate(kinds, 1):
+        for number, outcome in enumerate(outcomes, 1):
             self.start(start_of("j", "0.0.0", number))
             self.end("j", "0.0.0", outcome, number)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
@@ -65,7 +65,7 @@
         self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual(JobState.CANCELLED, self.ledger.jobs["j"].state)
 
-    def test_subtasks_that_last_are_never_done(self):
+    def test_long_running_subtasks_are_never_done(self):
         self.do(job_command("j", StepSpec(1, SUBTASK_RESOURCES, is_long_running=True), attempts=1))
         self.start(start_of("j", "0.0.0"))
         self.end("j", "0.0.0", commands.RunOutcome.FAILED)
@@ -88,14 +88,14 @@
         self.end("j", "0.0.0", commands.RunOutcome.STOPPED, 3)
         self.assertEqual((), self.start(start_of("j", "0.0.0", 3)))
 
-    def test_a_done_that_was_listed_late_counts(self):
+    def test_a_done_run_counts_even_if_reported_after_it_was_lost(self):
         self.do(job_command("j"))
         self.start(start_of("j", "0.0.0"))
         self.end("j", "0.0.0", commands.RunOutcome.LOST)
         self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual(JobState.COMPLETED, self.ledger.jobs["j"].state)
 
-    def test_a_failure_that_was_concluded_otherwise_does_not_count_twice(self):
+    def test_a_failure_reported_after_the_run_was_lost_does_not_count(self):
         self.do(job_command("j", attempts=1))
         self.start(start_of("j", "0.0.0"))
         self.end("j", "0.0.0", commands.RunOutcome.LOST)
@@ -117,7 +117,7 @@
         self.do(job_command("j", StepSpec(2, SUBTASK_RESOURCES, is_gang=True), attempts=2))
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
 
-    def test_one_member_done_stands_for_all(self):
+    def test_one_done_member_completes_the_gang(self):
         self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual(JobState.COMPLETED, self.ledger.jobs["j"].state)
 
@@ -128,14 +128,14 @@
 
 
 class WorkerTests(LedgerCase):
-    def test_words_of_a_life_that_left_are_dropped(self):
+    def test_updates_of_an_incarnation_that_left_are_ignored(self):
         self.do(commands.NoteWorker(worker("w1")))
         self.do(commands.NoteWorker(worker("w1", state=WorkerState.GONE)))
         self.assertFalse(self.do(commands.NoteWorker(worker("w1"))))
         self.assertNotIn("w1", self.ledger.workers)
         self.assertTrue(self.do(commands.NoteWorker(worker("w1", born=2))))
 
-    def test_a_draining_worker_is_not_ready_again_in_the_same_life(self):
+    def test_a_draining_worker_is_never_ready_again_in_the_same_incarnation(self):
         self.do(commands.NoteWorker(worker("w1", state=WorkerState.DRAINING)))
         self.do(commands.NoteWorker(worker("w1")))
         self.assertEqual(WorkerState.DRAINING, self.ledger.workers["w1"].state)
--- a/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
@@ -68,7 +68,7 @@
         return self.free_slots > 0 and step.need.fits(self.free)
 
     def count_subtasks(self, job: Job, gang: str) -> int:
-        """Return how many subtasks of a step of one occurrence run here; `gang` is `K.STEP`."""
+        """Return how many subtasks of one step and occurrence run here, named `OCCURRENCE.STEP`."""
         return sum(1 for run in self.runs if run.job is job and gang_of(run.subtask) == gang)
 
     def allocate(self, job: Job, subtask: str) -> None:
--- a/packages/agateferry-jobs/agateferry_jobs/planning/planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/planner.py
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadySubtasks:
-    """Subtasks of one step of one occurrence that may start now; `gang` is `K.STEP`."""
+    """Subtasks of one step of one occurrence that may start now; `gang` is `OCCURRENCE.STEP`."""
 
     job: Job
     gang: str
