--- a/packages/agateferry-jobs/agateferry_jobs/manifest/manifest.py
+++ b/packages/agateferry-jobs/agateferry_jobs/manifest/manifest.py
@@ -1,13 +1,13 @@
-"""The manifest in force, as the rest of the product reads it."""
+"""The manifest in force, independent of the format in which operators send it."""
 
 from msgspec import Struct
 
 
 class Queue(Struct, frozen=True):
-    """A place where callers hand jobs in, and the service whose workers run them.
+    """A queue that callers submit jobs to, and the service whose workers run them.
 
-    `timeout_ms` bounds a caller's call, `target_ms` is the wait that its callers are promised, and
-    `stretch` how many times the job's own length they accept.
+    `timeout_ms` limits a caller's call. The objective of a job is `stretch` times its own duration
+    plus `target_ms`.
     """
 
     name: str
@@ -24,7 +24,7 @@
 
 
 class Service(Struct, frozen=True):
-    """A pool of workers; `guards_capacity` says that they refuse what does not fit."""
+    """A pool of workers; with `guards_capacity` they refuse runs that exceed their capacity."""
 
     name: str
     max_connections: int = 0
@@ -33,7 +33,7 @@
 
 
 class Team(Struct, frozen=True):
-    """A team, the keys that speak for it, and the accelerators that it can always take back."""
+    """A team, its API keys, and `reserved_gpus`, the accelerators that it has a guarantee for."""
 
     name: str
     keys: tuple[str, ...] = ()
@@ -42,7 +42,7 @@
 
 
 class Manifest(Struct, frozen=True):
-    """One version of the manifest; `source` is what the operator sent, byte for byte."""
+    """One version of the manifest; `source` holds the exact bytes that the operator sent."""
 
     version: int
     queues: tuple[Queue, ...] = ()
@@ -51,18 +51,18 @@
     source: bytes = b""
 
     def queue_for(self, host: str, path: str) -> Queue | None:
-        """Return the queue of this host with the longest prefix that the path begins with."""
-        fitting = [q for q in self.queues if q.host == host and path.startswith(q.prefix)]
-        return max(fitting, key=lambda q: len(q.prefix), default=None)
+        """Return the queue of this host with the longest matching path prefix."""
+        matching = [q for q in self.queues if q.host == host and path.startswith(q.prefix)]
+        return max(matching, key=lambda q: len(q.prefix), default=None)
 
     def queue_named(self, name: str) -> Queue | None:
-        """Return the queue of this name."""
+        """Return the queue with this name."""
         return next((q for q in self.queues if q.name == name), None)
 
     def team_of(self, key: str) -> Team | None:
-        """Return the team that a key speaks for."""
+        """Return the team that an API key belongs to."""
         return next((t for t in self.teams if key in t.keys), None)
 
     def team_named(self, name: str) -> Team | None:
-        """Return the team of this name."""
+        """Return the team with this name."""
         return next((t for t in self.teams if t.name == name), None)
