--- a/packages/agateferry-jobs/agateferry_jobs/simulation/__init__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Days of jobs played in virtual time against the ledger and a policy, without processes."""
+"""Simulate days of jobs in virtual time with the real ledger and a policy, in one process."""
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/__main__.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/__main__.py
@@ -1,35 +1,35 @@
-"""Play simulated days and print what each policy earned."""
+"""Simulate days and print the score of each policy."""
 
 from statistics import mean, stdev
 
 import defopt
 
-from agateferry_jobs.simulation.loads import LOADS, draw
+from agateferry_jobs.simulation.day_simulation import DaySimulation
+from agateferry_jobs.simulation.loads import LOADS, draw_jobs
 from agateferry_jobs.simulation.policies import POLICIES
 from agateferry_jobs.simulation.report import Summary, summarize
-from agateferry_jobs.simulation.world import World
 
 
 def simulate(*, load: str = "surge", policy: str = "", seeds: int = 10) -> None:
-    """Play a load under one policy, or under each of them.
+    """Simulate a load under one policy, or under each of them.
 
     :param load: the name of a load: calm, surge, slow, heavy or grown
-    :param policy: the name of a policy; without it all are played
-    :param seeds: how many days are played; the seeds are 1 to this number
+    :param policy: the name of a policy; without it all are simulated
+    :param seeds: how many days are simulated; the seeds are 1 to this number
     """
     for name in [policy] if policy else POLICIES:
-        days = [play(load, name, seed) for seed in range(1, seeds + 1)]
+        days = [simulate_day(load, name, seed) for seed in range(1, seeds + 1)]
         print(f"{load} {name}: {describe(days)}")
 
 
-def play(load: str, policy: str, seed: int) -> Summary:
-    """Return what one day earned."""
-    jobs = draw(LOADS[load], seed)
-    return summarize(World(LOADS[load], jobs, POLICIES[policy], seed).play())
+def simulate_day(load: str, policy: str, seed: int) -> Summary:
+    """Return the summary of one simulated day."""
+    jobs = draw_jobs(LOADS[load], seed)
+    return summarize(DaySimulation(LOADS[load], jobs, POLICIES[policy], seed).run())
 
 
 def describe(days: list[Summary]) -> str:
-    """Return the means over several days in one line."""
+    """Return the means over several days as one line."""
     scores = [day.score for day in days]
     spread = stdev(scores) if len(scores) > 1 else 0.0
     names = sorted({name for day in days for name in day.by_kind})
@@ -38,12 +38,13 @@
         for name in names
     )
     return (
-        f"score={mean(scores):.3f} spread={spread:.3f} day={mean(day.day for day in days):.3f} "
+        f"score={mean(scores):.3f} spread={spread:.3f} "
+        f"day={mean(day.day_share for day in days):.3f} "
         f"worst_kind={mean(day.worst_kind for day in days):.3f} "
         f"worst_windows={mean(day.worst_windows for day in days):.3f} "
         f"wasted_gpu_s={mean(day.wasted_gpu_s for day in days):.0f} "
         f"stops={mean(day.stops for day in days):.1f} "
-        f"far_starts={mean(day.far_starts for day in days):.1f} {kinds}"
+        f"far_starts={mean(day.cross_rack_starts for day in days):.1f} {kinds}"
     )
 
 
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/world.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/day_simulation.py
@@ -1,4 +1,4 @@
-"""One simulated day: workers that run what the policy starts, in steps of virtual time."""
+"""Simulate one day: the policy plans and the workers run, in fixed steps of virtual time."""
 
 import random
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 from agateferry_jobs.planning import Fleet, Plan, WorkerHealth
 from agateferry_jobs.planning.fleet import RunKey
 from agateferry_jobs.simulation.loads import (
-    WORKER_ROOM,
+    WORKER_CAPACITY,
     Load,
     Outage,
     SimulatedJob,
@@ -20,128 +20,131 @@
 )
 from agateferry_jobs.simulation.policies import Policy
 
-STEP_MS = 50
-"""How much time passes between two looks at the world."""
-AFTER_S = 25
-"""How long a day goes on after its last job came."""
-STOP_MS = (100, 900)
-"""The least and the most that a stop takes."""
+TIME_STEP_MS = 50
+"""The step of virtual time in which the simulation advances."""
+TAIL_S = 25
+"""How long the simulation goes on after the last arrivals, so that late jobs can end."""
+STOP_DURATION_RANGE_MS = (100, 900)
+"""The least and the longest time from the order to stop a run to its end."""
 RESTORE_MS = 600
-"""What a start from a checkpoint takes before it works on."""
+"""How long a run that starts from a checkpoint restores it before it makes progress."""
 CALL_TIMEOUT_MS = 3_000
-"""A bound of callers' calls that the manifest needs; nobody calls in a simulation."""
-FAR_FACTOR = 3
-"""How many times as long a gang takes that asked for one rack and is on several."""
-OUTAGE_DRAW = 1_000
-"""Where the draws of outages begin, so that they hit other workers than slowness does."""
+"""The time limit of callers' calls, which the manifest requires; a simulation has no calls."""
+CROSS_RACK_SLOWDOWN = 3
+"""How many times as long a gang takes that needs one rack but spans several."""
+OUTAGE_SEED_OFFSET = 1_000
+"""Added to the seeds of outages, so that they affect other workers than slowness does."""
 
 
 @dataclass(slots=True)
-class Group:
-    """A subtask that runs, or the members of a gang that run together."""
+class RunningGroup:
+    """A running subtask, or the members of a gang that run together, by subtask name.
+
+    `work_ms` and `done_ms` are at full speed; `slowdown` applies to a gang that spans racks.
+    """
 
     job: SimulatedJob
     members: dict[str, Run]
     work_ms: float
     done_ms: float
     fails_at_ms: float | None
-    far_factor: int
+    slowdown: int
     restore_ms: float = 0.0
     ran_ms: float = 0.0
-    still_ms: float = 0.0
+    stalled_ms: float = 0.0
     stops_at_ms: int | None = None
 
     @property
     def saved_ms(self) -> float:
-        """Return the work that a checkpoint holds."""
+        """Return the work that a checkpoint saves if the run is stopped now."""
         if not self.job.spec.steps[0].saves_checkpoints:
             return 0.0
         return self.done_ms
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """What became of one job; None where it did not end as done."""
+class JobOutcome:
+    """When a job completed, in ms from the start of the day; None if it did not."""
 
     job: SimulatedJob
     ended_ms: int | None
 
 
 @dataclass(slots=True)
-class Day:
-    """What a day came to; times in ms from its start."""
+class DayResult:
+    """The result of a simulated day; `wasted_gpu_s` is lost work in accelerator-seconds."""
 
-    outcomes: list[Outcome]
+    outcomes: list[JobOutcome]
     wasted_gpu_s: float
     stops: int
-    far_starts: int
+    cross_rack_starts: int
 
 
-class World:
-    """Play one day of a load under a policy."""
+class DaySimulation:
+    """Simulate one day of a load under a policy."""
 
     def __init__(self, load: Load, jobs: Sequence[SimulatedJob], policy: Policy, seed: int) -> None:
         self._load = load
-        self._coming = list(jobs)
+        self._future_jobs = list(jobs)
         self._jobs = {job.id: job for job in jobs}
         self._policy = policy
         self._rng = random.Random(seed)
         self._ledger = Ledger()
-        self._groups: list[Group] = []
+        self._groups: list[RunningGroup] = []
         self._failed: dict[str, int] = {}
         self._wasted_gpu_s = 0.0
         self._stops = 0
-        self._far_starts = 0
+        self._cross_rack_starts = 0
         self._now_ms = 0
         self._speeds: dict[str, float] = {}
-        self._cut_off: set[str] = set()
+        self._unreachable: set[str] = set()
         self._racks: dict[str, str] = {}
 
-    def play(self) -> Day:
-        """Return what the day came to."""
-        self._open()
-        end_ms = round((self._load.length_s + AFTER_S) * MS_PER_S)
+    def run(self) -> DayResult:
+        """Simulate the day and return its result."""
+        self._set_up()
+        end_ms = round((self._load.duration_s + TAIL_S) * MS_PER_S)
         is_changed = True
-        for self._now_ms in range(0, end_ms, STEP_MS):
-            is_changed |= self._accept()
-            is_changed |= self._set_reach()
-            self._set_speeds()
-            is_changed |= self._work()
+        for self._now_ms in range(0, end_ms, TIME_STEP_MS):
+            is_changed |= self._submit_due_jobs()
+            is_changed |= self._update_unreachable()
+            self._update_speeds()
+            is_changed |= self._advance_all()
             if is_changed or self._now_ms % TICK_MS == 0:
                 self._plan()
                 is_changed = False
-        return Day(
-            [Outcome(job, self._ended_ms(job)) for job in self._jobs.values()],
+        return DayResult(
+            [JobOutcome(job, self._ended_ms(job)) for job in self._jobs.values()],
             self._wasted_gpu_s,
             self._stops,
-            self._far_starts,
+            self._cross_rack_starts,
         )
 
     def _ended_ms(self, job: SimulatedJob) -> int | None:
-        held = self._ledger.jobs[job.id]
-        return held.ended_ms if held.is_completed else None
+        stored = self._ledger.jobs[job.id]
+        return stored.ended_ms if stored.is_completed else None
 
-    def _do(self, command: commands.Command) -> None:
+    def _apply(self, command: commands.Command) -> None:
         self._ledger.apply(1, commands.encode(command))
 
-    def _open(self) -> None:
-        self._do(commands.PutManifest(_manifest(self._load)))
+    def _set_up(self) -> None:
+        self._apply(commands.PutManifest(_manifest(self._load)))
         for number in range(self._load.workers):
             id = f"w{number:03d}"
             rack = f"r{number // self._load.workers_per_rack}"
             self._racks[id] = rack
             labels = ("kind", rack)
             incarnation = WorkerIncarnation(
-                id, 1, "pool", id, "zone", WORKER_ROOM, labels, WORKER_ROOM.gpu
+                id, 1, "pool", id, "zone", WORKER_CAPACITY, labels, WORKER_CAPACITY.gpu
             )
-            self._do(commands.NoteWorker(incarnation))
+            self._apply(commands.NoteWorker(incarnation))
 
-    def _accept(self) -> bool:
-        due = [job for job in self._coming if job.at_ms <= self._now_ms]
-        self._coming = self._coming[len(due) :]
+    def _submit_due_jobs(self) -> bool:
+        due = [job for job in self._future_jobs if job.arrival_ms <= self._now_ms]
+        self._future_jobs = self._future_jobs[len(due) :]
         for job in due:
             kind = job.kind
-            self._do(
+            self._apply(
                 commands.AcceptJob(
                     job.id,
                     kind.name,
@@ -155,60 +158,60 @@
             )
         return bool(due)
 
-    def _set_speeds(self) -> None:
-        """Work out how fast each worker is now."""
+    def _update_speeds(self) -> None:
+        """Set the current speed of each worker; 1 is full speed."""
         self._speeds = dict.fromkeys(self._racks, 1.0)
         for number, slowness in enumerate(self._load.slowness):
-            for id in self._hit_by(slowness, number):
-                self._speeds[id] = 1 / slowness.times if slowness.times else 0.0
+            for id in self._affected_workers(slowness, number):
+                self._speeds[id] = 1 / slowness.slowdown if slowness.slowdown else 0.0
 
-    def _set_reach(self) -> bool:
-        """Work out which workers are cut off now; tell whether that changed."""
-        before = self._cut_off
-        self._cut_off = set()
+    def _update_unreachable(self) -> bool:
+        """Update which workers are unreachable; return whether that changed."""
+        before = self._unreachable
+        self._unreachable = set()
         for number, outage in enumerate(self._load.outages):
-            hit = self._hit_by(outage, OUTAGE_DRAW + number)
-            if outage.rack is not None and self._is_now(outage):
-                hit = {id for id, rack in self._racks.items() if rack == f"r{outage.rack}"}
-            self._cut_off |= hit
-        return before != self._cut_off
-
-    def _hit_by(self, span: Slowness | Outage, draw: int) -> set[str]:
-        """Return the workers that a span hits now; `draw` makes each span hit its own."""
-        if not self._is_now(span):
+            affected = self._affected_workers(outage, OUTAGE_SEED_OFFSET + number)
+            if outage.rack is not None and self._is_active(outage):
+                affected = {id for id, rack in self._racks.items() if rack == f"r{outage.rack}"}
+            self._unreachable |= affected
+        return before != self._unreachable
+
+    def _affected_workers(self, fault: Slowness | Outage, seed: int) -> set[str]:
+        """Return the workers that a fault affects now; each fault draws its own by its seed."""
+        if not self._is_active(fault):
             return set()
         ids = sorted(self._racks)
-        return set(random.Random(draw).sample(ids, round(span.share * len(ids))))
+        return set(random.Random(seed).sample(ids, round(fault.share * len(ids))))
 
-    def _is_now(self, span: Slowness | Outage) -> bool:
-        begin_ms = span.at_s * MS_PER_S
-        return begin_ms <= self._now_ms < begin_ms + span.for_s * MS_PER_S
+    def _is_active(self, fault: Slowness | Outage) -> bool:
+        start_ms = fault.start_s * MS_PER_S
+        return start_ms <= self._now_ms < start_ms + fault.duration_s * MS_PER_S
 
-    def _work(self) -> bool:
-        """Let all groups work for one step; tell whether any ended."""
+    def _advance_all(self) -> bool:
+        """Advance all running groups by one time step; return whether any ended."""
         ended = [group for group in self._groups if self._advance(group)]
         self._groups = [group for group in self._groups if group not in ended]
         return bool(ended)
 
-    def _advance(self, group: Group) -> bool:
+    def _advance(self, group: RunningGroup) -> bool:
         workers = {run.worker for run in group.members.values()}
         speed = min(self._speeds[worker] for worker in workers)
-        is_hidden = bool(workers & self._cut_off)
-        group.ran_ms += STEP_MS
-        group.still_ms = 0.0 if speed else group.still_ms + STEP_MS
+        is_unreachable = bool(workers & self._unreachable)
+        group.ran_ms += TIME_STEP_MS
+        group.stalled_ms = 0.0 if speed else group.stalled_ms + TIME_STEP_MS
         if group.stops_at_ms is not None:
-            if not is_hidden and self._now_ms >= group.stops_at_ms:
+            if not is_unreachable and self._now_ms >= group.stops_at_ms:
                 self._end(group, commands.RunOutcome.STOPPED)
                 return True
             return False
-        if group.still_ms > HUNG_MS and not is_hidden:
+        if group.stalled_ms > HUNG_MS and not is_unreachable:
             self._stop(group)
             return False
         if group.restore_ms > 0:
-            group.restore_ms -= STEP_MS
+            group.restore_ms -= TIME_STEP_MS
             return False
-        group.done_ms += STEP_MS * speed / group.far_factor
-        if is_hidden:
+        group.done_ms += TIME_STEP_MS * speed / group.slowdown
+        if is_unreachable:
             return False
         if group.fails_at_ms is not None and group.done_ms >= group.fails_at_ms:
             self._failed[group.job.id] = self._failed.get(group.job.id, 0) + 1
@@ -219,7 +222,7 @@
             return True
         return False
 
-    def _end(self, group: Group, outcome: commands.RunOutcome) -> None:
+    def _end(self, group: RunningGroup, outcome: commands.RunOutcome) -> None:
         checkpoint = str(round(group.saved_ms)) if group.saved_ms else ""
         ends = tuple(
             commands.RunEnded(group.job.id, name, run, outcome, checkpoint)
@@ -229,12 +232,12 @@
             lost_ms = group.ran_ms if not checkpoint else 0.0
             gpus = group.job.spec.steps[0].need.gpu * len(group.members)
             self._wasted_gpu_s += lost_ms * gpus / MS_PER_S
-        self._do(commands.EndRuns(ends, self._now_ms))
+        self._apply(commands.EndRuns(ends, self._now_ms))
 
-    def _stop(self, group: Group) -> None:
+    def _stop(self, group: RunningGroup) -> None:
         if group.stops_at_ms is None:
             self._stops += 1
-            group.stops_at_ms = self._now_ms + self._rng.randint(*STOP_MS)
+            group.stops_at_ms = self._now_ms + self._rng.randint(*STOP_DURATION_RANGE_MS)
 
     def _plan(self) -> None:
         stopping: set[RunKey] = {
@@ -243,7 +246,7 @@
             if group.stops_at_ms is not None
             for name in group.members
         }
-        health = {id: WorkerHealth(answers=id not in self._cut_off) for id in self._racks}
+        health = {id: WorkerHealth(answers=id not in self._unreachable) for id in self._racks}
         fleet = Fleet.from_ledger(self._ledger, health, stopping)
         plan = self._policy.plan(self._ledger, fleet, self._now_ms)
         for stop in plan.stops:
@@ -255,38 +258,38 @@
     def _start(self, plan: Plan) -> None:
         if not plan.starts:
             return
-        self._do(commands.StartRuns(tuple(plan.starts), self._now_ms))
-        together: dict[tuple[str, str], list[commands.RunStart]] = {}
+        self._apply(commands.StartRuns(tuple(plan.starts), self._now_ms))
+        starts_by_group: dict[tuple[str, str], list[commands.RunStart]] = {}
         for start in plan.starts:
             is_gang = self._jobs[start.job].kind.is_gang
-            part = gang_of(start.subtask) if is_gang else start.subtask
-            together.setdefault((start.job, part), []).append(start)
-        for starts in together.values():
+            group_name = gang_of(start.subtask) if is_gang else start.subtask
+            starts_by_group.setdefault((start.job, group_name), []).append(start)
+        for starts in starts_by_group.values():
             self._groups.append(self._group(starts))
 
-    def _group(self, starts: Sequence[commands.RunStart]) -> Group:
+    def _group(self, starts: Sequence[commands.RunStart]) -> RunningGroup:
         job = self._jobs[starts[0].job]
         step = job.spec.steps[0]
         racks = {self._racks[start.run.worker] for start in starts}
-        is_far = step.same_rack and len(racks) > 1
-        self._far_starts += is_far
+        spans_racks = step.same_rack and len(racks) > 1
+        self._cross_rack_starts += spans_racks
         work_ms = job.work_ms[int(starts[0].subtask.rpartition(".")[2])]
         failed = self._failed.get(job.id, 0)
         fails_at = job.fails_at[failed] * work_ms if failed < len(job.fails_at) else None
         done_ms = float(starts[0].checkpoint or 0)
-        return Group(
+        return RunningGroup(
             job,
             {start.subtask: start.run for start in starts},
             work_ms,
             done_ms,
             fails_at,
-            FAR_FACTOR if is_far else 1,
+            CROSS_RACK_SLOWDOWN if spans_racks else 1,
             restore_ms=RESTORE_MS if done_ms else 0.0,
         )
 
 
 def _manifest(load: Load) -> Manifest:
-    """Return a manifest with a queue for each kind of job, and teams with equal reserves."""
+    """Return a manifest with a queue for each kind of job, and teams with equal guarantees."""
     queues = tuple(
         Queue(
             name=kind.name,
@@ -301,9 +304,9 @@
         )
         for kind in load.kinds
     )
-    reserved = int(load.reserved_share * load.workers * WORKER_ROOM.gpu / load.teams)
+    guaranteed = int(load.guaranteed_share * load.workers * WORKER_CAPACITY.gpu / load.teams)
     teams = tuple(
-        Team(f"team-{number}", (f"key-{number}",), reserved_gpus=reserved)
+        Team(f"team-{number}", (f"key-{number}",), reserved_gpus=guaranteed)
         for number in range(load.teams)
     )
     return Manifest(1, queues, (Service("pool"),), teams)
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/loads.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/loads.py
@@ -1,9 +1,9 @@
 """The jobs of a simulated day, drawn from a seed.
 
-A load names kinds of jobs with their rates, shapes and worth, and the times at which more of them
-come than usual. The same seed always gives the same jobs.
+A load defines the kinds of jobs with their rates, resources and worth, and the surges, in which
+more of them arrive than usual. The same seed always gives the same jobs.
 
-    jobs = draw(LOADS["surge"], seed=1)
+    jobs = draw_jobs(LOADS["surge"], seed=1)
 """
 
 import random
@@ -12,19 +12,21 @@
 from agateferry_core.clock import MS_PER_S
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 
-WORKER_ROOM = Resources(cpu=64_000, mem_mb=262_000, gpu=8)
-"""What every simulated worker has."""
-LONGEST_SHARE = 6
-"""How many times the mean of its kind a width may be at most, so that one job is not the day."""
+WORKER_CAPACITY = Resources(cpu=64_000, mem_mb=262_000, gpu=8)
+"""The capacity of every simulated worker."""
+MAX_WIDTH_FACTOR = 6
+"""The largest width as a multiple of its kind's mean, so that one job does not dominate a day."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobKind:
-    """Jobs that are alike: how many come, what they need and what they are worth.
+    """A kind of jobs: how many arrive, what they need and what they are worth.
 
-    `per_s` is the rate in jobs a second, `work_ms` the mean length of a subtask, `gpus` the
-    accelerators of a subtask to draw from, `estimate_error` the share by which declared lengths
-    are off, and `objective` is `stretch` times the length plus `target_ms`.
+    `per_s` is the arrival rate in jobs per second, `width` the mean number of subtasks, `work_ms`
+    the mean duration of a subtask, and `gpus` the numbers of accelerators of a subtask to draw
+    from. `estimate_error` is the largest relative error of declared durations. The objective is
+    `stretch` times the duration plus `target_ms`; a job that meets it earns `worth`, a late one
+    `late_worth`.
     """
 
     name: str
@@ -49,111 +51,111 @@
 
 @dataclass(frozen=True, slots=True)
 class Surge:
-    """A span in which `times` as many jobs of one kind come."""
+    """A period in which `factor` times as many jobs of one kind arrive."""
 
     kind: str
-    at_s: float
-    for_s: float
-    times: float
+    start_s: float
+    duration_s: float
+    factor: float
 
 
 @dataclass(frozen=True, slots=True)
 class Slowness:
-    """A span in which a share of the workers takes `times` as long; 0 stands for standing still."""
+    """A period in which a share of the workers is `slowdown` times as slow; 0 is a standstill."""
 
-    at_s: float
-    for_s: float
+    start_s: float
+    duration_s: float
     share: float
-    times: float
+    slowdown: float
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A span in which a share of the workers cannot be reached; what they run goes on.
+    """A period in which a share of the workers is unreachable; their runs go on.
 
-    With `rack` it hits the workers of that rack, counted from 0, and `share` says nothing.
+    With `rack` it affects the workers of that rack, counted from 0, and `share` is ignored.
     """
 
-    at_s: float
-    for_s: float
+    start_s: float
+    duration_s: float
     share: float = 0.0
     rack: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A day: its workers, its kinds of jobs, and what makes it hard."""
+    """A simulated day: its workers, its kinds of jobs, and its surges and faults."""
 
     kinds: tuple[JobKind, ...]
     workers: int = 24
     workers_per_rack: int = 8
     teams: int = 4
-    reserved_share: float = 0.62
-    """The share of all accelerators that the teams hold guarantees for, in equal parts."""
-    length_s: float = 36.0
+    guaranteed_share: float = 0.62
+    """The share of all accelerators that is guaranteed to teams, in equal parts."""
+    duration_s: float = 36.0
     surges: tuple[Surge, ...] = ()
     slowness: tuple[Slowness, ...] = ()
     outages: tuple[Outage, ...] = ()
 
     def kind_named(self, name: str) -> JobKind:
-        """Return the kind of this name; a missing one is a broken load."""
+        """Return the kind with this name, which must exist."""
         return next(kind for kind in self.kinds if kind.name == name)
 
 
 @dataclass(frozen=True, slots=True)
 class SimulatedJob:
-    """A job as its caller hands it in, and what only the simulation knows of it."""
+    """A job as its caller submits it, and what only the simulation knows about it."""
 
     id: str
     kind: JobKind
     team: str
-    at_ms: int
+    arrival_ms: int
     spec: JobSpec
     work_ms: tuple[int, ...]
-    """How long each subtask of the only step really takes on a sound worker."""
+    """How long each subtask of the only step really takes on a worker without a fault."""
     fails_at: tuple[float, ...]
-    """The shares of the work at which the first runs fail; one entry for each failing run."""
+    """The share of its work at which each failing run fails; the runs after these succeed."""
 
 
-def draw(load: Load, seed: int) -> list[SimulatedJob]:
-    """Return the jobs of a day in the order in which they come."""
+def draw_jobs(load: Load, seed: int) -> list[SimulatedJob]:
+    """Return the jobs of a day in the order of their arrival."""
     rng = random.Random(seed)
     jobs: list[SimulatedJob] = []
     for kind in load.kinds:
-        for at_ms in _times(load, kind, rng):
-            jobs.append(_job(load, kind, at_ms, rng))
-    return sorted(jobs, key=lambda job: (job.at_ms, job.id))
+        for arrival_ms in _arrivals_ms(load, kind, rng):
+            jobs.append(_job(load, kind, arrival_ms, rng))
+    return sorted(jobs, key=lambda job: (job.arrival_ms, job.id))
 
 
-def _times(load: Load, kind: JobKind, rng: random.Random) -> list[int]:
+def _arrivals_ms(load: Load, kind: JobKind, rng: random.Random) -> list[int]:
     """Draw arrivals by thinning, as Lewis and Shedler (1979) describe it."""
     surges = [surge for surge in load.surges if surge.kind == kind.name]
-    most = kind.per_s * max([1.0, *(surge.times for surge in surges)])
+    peak_rate = kind.per_s * max([1.0, *(surge.factor for surge in surges)])
     times: list[int] = []
-    at_s = rng.expovariate(most)
-    while at_s < load.length_s:
+    at_s = rng.expovariate(peak_rate)
+    while at_s < load.duration_s:
         rate = kind.per_s
         for surge in surges:
-            if surge.at_s <= at_s < surge.at_s + surge.for_s:
-                rate *= surge.times
-        if rng.random() < rate / most:
+            if surge.start_s <= at_s < surge.start_s + surge.duration_s:
+                rate *= surge.factor
+        if rng.random() < rate / peak_rate:
             times.append(round(at_s * MS_PER_S))
-        at_s += rng.expovariate(most)
+        at_s += rng.expovariate(peak_rate)
     return times
 
 
-def _job(load: Load, kind: JobKind, at_ms: int, rng: random.Random) -> SimulatedJob:
+def _job(load: Load, kind: JobKind, arrival_ms: int, rng: random.Random) -> SimulatedJob:
     need = Resources(kind.cpu, kind.mem_mb, rng.choice(kind.gpus))
     same_rack = kind.is_gang and rng.random() < kind.same_rack_share
     count = _width(load, kind, need, rng)
-    length_ms = max(300.0, rng.gauss(1.0, 0.3) * kind.work_ms)
+    duration_ms = max(300.0, rng.gauss(1.0, 0.3) * kind.work_ms)
     spread = 0.0 if kind.is_gang else 0.15
-    work_ms = tuple(round(length_ms * (1 + rng.uniform(-spread, spread))) for _ in range(count))
-    estimate = length_ms * (1 + rng.uniform(-kind.estimate_error, kind.estimate_error))
+    work_ms = tuple(round(duration_ms * (1 + rng.uniform(-spread, spread))) for _ in range(count))
+    declared_ms = duration_ms * (1 + rng.uniform(-kind.estimate_error, kind.estimate_error))
     step = StepSpec(
         count,
         need,
-        estimated_ms=round(estimate),
+        estimated_ms=round(declared_ms),
         is_gang=kind.is_gang,
         same_rack=same_rack,
         saves_checkpoints=rng.random() < kind.saves_share,
@@ -161,18 +163,20 @@
     fails = (rng.random(),) if rng.random() < kind.failing_share else ()
     id = f"{rng.getrandbits(64):016x}"
     team = f"team-{rng.randrange(load.teams)}"
-    return SimulatedJob(id, kind, team, at_ms, JobSpec("payload", (step,)), work_ms, fails)
+    return SimulatedJob(id, kind, team, arrival_ms, JobSpec("payload", (step,)), work_ms, fails)
 
 
 def _width(load: Load, kind: JobKind, need: Resources, rng: random.Random) -> int:
-    """Draw how many subtasks a job has; a gang must fit into half of a rack."""
+    """Draw the number of subtasks of a job; a gang must fit into half of a rack."""
     width = rng.lognormvariate(0.0, 0.8) * kind.width * 0.73
-    count = max(1, round(min(width, LONGEST_SHARE * kind.width)))
+    count = max(1, round(min(width, MAX_WIDTH_FACTOR * kind.width)))
     if not kind.is_gang:
         return count
-    room = WORKER_ROOM
-    on_one = min(room.cpu // need.cpu, room.mem_mb // need.mem_mb, room.gpu // need.gpu)
-    return min(count, load.workers_per_rack // 2 * on_one)
+    capacity = WORKER_CAPACITY
+    per_worker = min(
+        capacity.cpu // need.cpu, capacity.mem_mb // need.mem_mb, capacity.gpu // need.gpu
+    )
+    return min(count, load.workers_per_rack // 2 * per_worker)
 
 
 URGENT = JobKind(
@@ -244,7 +248,7 @@
 HEAVY = replace(
     SURGE,
     kinds=tuple(replace(kind, per_s=kind.per_s * 1.5) for kind in CALM.kinds),
-    length_s=44.0,
+    duration_s=44.0,
     slowness=(Slowness(5.2, 4.5, 0.08, 0.0),),
     outages=(Outage(4.7, 6.0, share=0.25), Outage(33.0, 6.4, rack=0)),
 )
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
@@ -1,4 +1,4 @@
-"""The policies that a simulated day can be played under."""
+"""The scheduling policies that a day can be simulated with."""
 
 from typing import Protocol
 
@@ -8,7 +8,7 @@
 
 
 class Policy(Protocol):
-    """What decides which subtask starts where, and what is stopped for it."""
+    """Decides which subtask starts where, and which runs are preempted for it."""
 
     def plan(self, ledger: Ledger, fleet: Fleet, now_ms: int) -> Plan:
         """Return the starts and stops that are due now."""
@@ -23,9 +23,9 @@
 
 
 class FirstFit:
-    """Serve jobs as they came, each subtask on the first worker with room; nothing gives way.
+    """Start jobs in the order of acceptance, each subtask on the first worker that it fits.
 
-    This is the baseline that the leader's plan is compared with.
+    Nothing is preempted. This is the baseline that the leader's plan is compared with.
     """
 
     def plan(self, ledger: Ledger, fleet: Fleet, now_ms: int) -> Plan:
@@ -40,24 +40,31 @@
 
 
 def _start_all(job: Job, workers: list[WorkerAllocation], plan: Plan) -> bool:
-    """Add the starts of a job's waiting subtasks; a gang is started whole or not at all."""
-    waiting = [n for n, s in job.subtasks.items() if s.active is None and not s.is_done]
+    """Add the starts of a job's waiting subtasks and tell whether all of them fit.
+
+    A gang starts whole or not at all.
+    """
+    waiting = [
+        name
+        for name, subtask in job.subtasks.items()
+        if subtask.active is None and not subtask.is_done
+    ]
     placed: list[tuple[str, WorkerAllocation]] = []
     for name in waiting:
         step = job.step_of(name)
-        worker = next((s for s in workers if s.accepts_runs and s.fits_now(step)), None)
+        worker = next((each for each in workers if each.accepts_runs and each.fits_now(step)), None)
         if worker is None:
             break
         worker.allocate(job, name)
         placed.append((name, worker))
-    is_whole = len(placed) == len(waiting)
-    if not is_whole and any(job.step_of(name).is_gang for name in waiting):
+    fit_all = len(placed) == len(waiting)
+    if not fit_all and any(job.step_of(name).is_gang for name in waiting):
         return False
     number = 1 + max((job.subtasks[name].last_run for name in waiting), default=0)
     for name, worker in placed:
         run = Run(number, worker.incarnation.id, worker.incarnation.born)
         plan.starts.append(RunStart(job.id, name, run, job.subtasks[name].checkpoint))
-    return is_whole
+    return fit_all
 
 
 POLICIES: dict[str, Policy] = {"leader": LeaderPolicy(), "first-fit": FirstFit()}
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_world.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_day_simulation.py
@@ -5,28 +5,28 @@
 from agateferry_jobs.ledger.specs import JobSpec, Resources, StepSpec
 from agateferry_jobs.planning import Plan
 from agateferry_jobs.planning.planner import Stop
+from agateferry_jobs.simulation.day_simulation import TIME_STEP_MS, DaySimulation
 from agateferry_jobs.simulation.loads import BATCH, CALM, GANGS, SimulatedJob, Slowness
 from agateferry_jobs.simulation.policies import FirstFit, LeaderPolicy
-from agateferry_jobs.simulation.world import STEP_MS, World
 
-LOAD = replace(CALM, workers=2, length_s=1.0)
-WHOLE = Resources(cpu=8_000, mem_mb=16_000, gpu=8)
+LOAD = replace(CALM, workers=2, duration_s=1.0)
+WHOLE_WORKER = Resources(cpu=8_000, mem_mb=16_000, gpu=8)
 
 
 def job(id="j", count=1, kind=GANGS, work_ms=2_000, fails_at=(), **step):
-    step.setdefault("need", WHOLE)
+    step.setdefault("need", WHOLE_WORKER)
     spec = JobSpec("payload", (StepSpec(count, estimated_ms=work_ms, **step),))
     return SimulatedJob(id, kind, "team-0", 0, spec, (work_ms,) * count, fails_at)
 
 
 def ended(*jobs, load=LOAD, policy=None):
     """Return when each job ended, in ms."""
-    day = World(load, jobs, policy or LeaderPolicy(), seed=1).play()
+    day = DaySimulation(load, jobs, policy or LeaderPolicy(), seed=1).run()
     return {outcome.job.id: outcome.ended_ms for outcome in day.outcomes}
 
 
-class StopsOnce:
-    """Stop everything that runs at one moment, and plan as the leader does otherwise."""
+class StopWorkerOnce:
+    """Stops all runs of one worker at one moment, and plans as the leader does otherwise."""
 
     def __init__(self, at_ms):
         self._at_ms = at_ms
@@ -34,7 +34,7 @@
     def plan(self, ledger, fleet, now_ms):
         if now_ms != self._at_ms:
             return LeaderPolicy().plan(ledger, fleet, now_ms)
-        worker = next(s for s in fleet.by_service["pool"] if s.runs)
+        worker = next(worker for worker in fleet.by_service["pool"] if worker.runs)
         plan = Plan()
         for allocated_run in worker.runs:
             run = allocated_run.job.subtasks[allocated_run.subtask].active
@@ -43,19 +43,19 @@
 
 
 class WorkTests(testtools.TestCase):
-    def test_a_job_takes_its_work(self):
-        self.assertAlmostEqual(2_000, ended(job())["j"], delta=2 * STEP_MS)
+    def test_a_job_takes_as_long_as_its_work(self):
+        self.assertAlmostEqual(2_000, ended(job())["j"], delta=2 * TIME_STEP_MS)
 
     def test_a_gang_across_racks_takes_three_times_as_long(self):
         load = replace(LOAD, workers=9)
         gang = job(count=9, is_gang=True, same_rack=True)
-        self.assertAlmostEqual(6_000, ended(gang, load=load)["j"], delta=3 * STEP_MS)
+        self.assertAlmostEqual(6_000, ended(gang, load=load)["j"], delta=3 * TIME_STEP_MS)
 
     def test_a_job_that_fails_runs_again(self):
-        self.assertAlmostEqual(3_000, ended(job(fails_at=(0.5,)))["j"], delta=4 * STEP_MS)
+        self.assertAlmostEqual(3_000, ended(job(fails_at=(0.5,)))["j"], delta=4 * TIME_STEP_MS)
 
     def test_a_stopped_run_starts_from_its_checkpoint_or_from_the_beginning(self):
-        policy = StopsOnce(1_000)
+        policy = StopWorkerOnce(1_000)
         saved = ended(job(saves_checkpoints=True), policy=policy)["j"]
         lost = ended(job(), policy=policy)["j"]
         self.assertTrue(lost - saved > 300, (lost, saved))
@@ -63,13 +63,13 @@
 
     def test_a_slow_worker_takes_longer_and_a_hung_run_is_stopped(self):
         slow = replace(LOAD, workers=1, slowness=(Slowness(0, 60, 1.0, 5.0),))
-        self.assertAlmostEqual(10_000, ended(job(), load=slow)["j"], delta=3 * STEP_MS)
+        self.assertAlmostEqual(10_000, ended(job(), load=slow)["j"], delta=3 * TIME_STEP_MS)
         hung = replace(LOAD, workers=1, slowness=(Slowness(0, 5, 1.0, 0.0),))
         self.assertTrue(6_000 < ended(job(), load=hung)["j"] < 9_000)
 
 
 class FirstFitTests(testtools.TestCase):
-    def test_jobs_are_served_as_they_came(self):
+    def test_jobs_start_in_the_order_of_acceptance(self):
         load = replace(LOAD, workers=1)
         first, second = job("a", kind=BATCH), job("b")
         ends = ended(first, second, load=load, policy=FirstFit())
@@ -78,4 +78,4 @@
     def test_a_gang_is_started_whole(self):
         load = replace(LOAD, workers=2)
         ends = ended(job("a"), job("b", count=2, is_gang=True), load=load, policy=FirstFit())
-        self.assertAlmostEqual(4_000, ends["b"], delta=4 * STEP_MS)
+        self.assertAlmostEqual(4_000, ends["b"], delta=4 * TIME_STEP_MS)
