--- a/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
@@ -44,7 +44,7 @@
     data_rack: str = ""
     """The rack that holds the data; on other racks a subtask takes three times as long."""
     max_per_worker: int = 0
-    """How many subtasks of one occurrence may run on one worker; 0 for no limit."""
+    """How many subtasks of this step and one occurrence may run on one worker; 0 for no limit."""
     saves_checkpoints: bool = False
     """Whether a run saves checkpoints, so that little work is lost when it is stopped."""
     is_speculative: bool = field(default=False, name="may_copy")
--- a/packages/agateferry-jobs/agateferry_jobs/manifest/manifest.py
+++ b/packages/agateferry-jobs/agateferry_jobs/manifest/manifest.py
@@ -6,8 +6,8 @@
 class Queue(Struct, frozen=True):
     """A queue that callers submit jobs to, and the service whose workers run them.
 
-    `timeout_ms` limits a caller's call. The objective of a job is `stretch` times its own duration
-    plus `target_ms`.
+    `timeout_ms` limits a caller's call. The objective of a job is the time that its callers accept:
+    `stretch` times its own duration, plus `target_ms`, the wait that they are promised.
     """
 
     name: str
--- a/packages/agateferry-jobs/agateferry_jobs/planning/preemption_cost.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/preemption_cost.py
@@ -84,7 +84,7 @@
     def _compute(self, allocated_run: AllocatedRun) -> float:
         """Return the weighted work that is lost with a run and the rest of its gang.
 
-        `CHECKPOINT_LOSS_S` is added for every run, so that one that just started has a cost too.
+        `CHECKPOINT_LOSS_S` is added for every run, with or without checkpoints.
         """
         job, step = allocated_run.job, allocated_run.step
         members = step.count if step.is_gang else 1
--- a/packages/agateferry-jobs/agateferry_jobs/planning/timing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/timing.py
@@ -10,7 +10,10 @@
 
 
 class Lateness(IntEnum):
-    """Whether a job that starts now can meet its objective; jobs that can are planned first."""
+    """How a job would end if it started now; jobs are planned in this order.
+
+    `IN_TIME` is within the objective and `LATE` within `LATE_FACTOR` objectives.
+    """
 
     IN_TIME = 0
     LATE = 1
--- a/packages/agateferry-jobs/agateferry_jobs/support/model_worker.py
+++ b/packages/agateferry-jobs/agateferry_jobs/support/model_worker.py
@@ -46,7 +46,7 @@
     deadline_ms: int = 0
     running: dict[RunKey, int] = field(default_factory=dict)
     ended_runs: dict[RunKey, int] = field(default_factory=dict)
-    """The newest run of each subtask that ended or was ordered to stop; it never starts again."""
+    """The newest run of each subtask that ended or was ordered to stop; it cannot start again."""
     ends: list[FinishedRun] = field(default_factory=list)
     last_end_number: int = 0
     delayed_orders: list[StartOrder] = field(default_factory=list)
