--- a/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
@@ -187,7 +187,7 @@
 
     def _make_plan(self) -> Plan:
         self._stop_obsolete_runs()
-        fleet = Fleet.of(
+        fleet = Fleet.from_ledger(
             self._ledger, self._registry.health(self._is_suspect), self._registry.stopping_runs()
         )
         return Planner(self._ledger, fleet, self.now_ms).plan()
