--- a/packages/agateferry-service/agateferry_service/cell/machine.py
+++ b/packages/agateferry-service/agateferry_service/cell/machine.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from agateferry_service.endpoints.registry import Registry
+from agateferry_service.endpoints.registry import WorkerRegistry
 from agateferry_service.requests.ledger import Ledger
 from agateferry_service.rpc import commands_pb2 as pb
 from agateferry_state.records import RecordStore, decode_revisions
@@ -18,7 +18,7 @@
     def __init__(self, zone: str) -> None:
         self.zone = zone
         self.ledger = Ledger()
-        self.registry = Registry(zone)
+        self.registry = WorkerRegistry(zone)
         self.records = RecordStore()
         self.listeners: list[Callable[[pb.Command, Any], None]] = []
 
--- a/packages/agateferry-service/agateferry_service/daemon/host.py
+++ b/packages/agateferry-service/agateferry_service/daemon/host.py
@@ -22,13 +22,13 @@
 from agateferry_service.dispatch.attempt import AttemptTimes
 from agateferry_service.dispatch.client import WAIT_GRACE_MS, WorkerClient
 from agateferry_service.endpoints.app import EndpointsApp
-from agateferry_service.entry.app import Entry
+from agateferry_service.entry.app import CallersApp
 from agateferry_service.http.server import HttpServer
-from agateferry_service.operators.app import Operators
-from agateferry_service.operators.hosts import Hosts
+from agateferry_service.operators.app import OperatorsApp
+from agateferry_service.operators.host_status import HostStatusReader
 from agateferry_service.operators.membership import Group, MembershipChanges
 from agateferry_service.records.follower import RecordsFollower
-from agateferry_service.records.plane import RecordsPlane, WatchedRecords
+from agateferry_service.records.plane import NotifyingRecordsMachine, RecordsPlane
 from agateferry_service.records.servicer import RecordsServicer
 from agateferry_service.routing import Channels
 from agateferry_service.routing.calls import CellCalls, RecordsCalls
@@ -130,7 +130,7 @@
         replica = self.replicas.cell(machine)
         self.nodes = {Group.CELL: replica}
         self.workers = WorkerClient(self.metrics)
-        self.records_machine = WatchedRecords()
+        self.records_machine = NotifyingRecordsMachine()
         self.plane: RecordsPlane | None = None
         if settings.own_peer().records_voter:
             plane_replica = self.replicas.records(self.records_machine)
@@ -166,7 +166,7 @@
     def _build_ports(self) -> None:
         settings, limits = self.settings, self.settings.limits
         zone = settings.host.zone
-        entry = Entry(
+        entry = CallersApp(
             zone,
             self.zones,
             self.cell.ctx.catalog,
@@ -175,8 +175,8 @@
             self.metrics,
             lambda: self._stopping,
         )
-        hosts = Hosts(settings, self.cell, self.plane)
-        operators = Operators(
+        hosts = HostStatusReader(settings, self.cell, self.plane)
+        operators = OperatorsApp(
             zone,
             self.zones,
             self.cell_calls,
--- a/packages/agateferry-service/agateferry_service/endpoints/app.py
+++ b/packages/agateferry-service/agateferry_service/endpoints/app.py
@@ -11,7 +11,7 @@
 from agateferry_core.metrics import Metrics
 from agateferry_service.endpoints.registry import WorkerState
 from agateferry_service.http.bodies import read_model
-from agateferry_service.http.problems import problem, refused
+from agateferry_service.http.problems import problem, refusal_response
 from agateferry_service.routing.calls import CellCalls
 from agateferry_service.routing.router import Router
 from agateferry_service.rpc import cell_pb2, commands_pb2
@@ -101,7 +101,7 @@
         reply = await self._router.call(self._calls.announce, message, PATIENCE_MS)
         if reply.HasField("refusal"):
             self._metrics.announced(reply.refusal.reason)
-            return refused(reply.refusal)
+            return refusal_response(reply.refusal)
         self._metrics.announced("taken")
         return JSONResponse(
             {
--- a/packages/agateferry-service/agateferry_service/endpoints/registry.py
+++ b/packages/agateferry-service/agateferry_service/endpoints/registry.py
@@ -29,7 +29,7 @@
     state: WorkerState
 
 
-class Registry:
+class WorkerRegistry:
     """Hold the zone's workers by name."""
 
     def __init__(self, zone: str) -> None:
--- a/packages/agateferry-service/agateferry_service/entry/app.py
+++ b/packages/agateferry-service/agateferry_service/entry/app.py
@@ -12,11 +12,11 @@
 
 from agateferry_core.metrics import Metrics
 from agateferry_service.cell.catalog import Catalog
-from agateferry_service.entry.homes import home_zone, new_id, zone_of_id
+from agateferry_service.entry.home_zone import home_zone, new_id, zone_of_id
 from agateferry_service.entry.models import SubmitBody
 from agateferry_service.entry.views import has_ended, request_json
 from agateferry_service.http.bodies import canonical_json, read_model, wait_ms
-from agateferry_service.http.problems import problem, refused
+from agateferry_service.http.problems import problem, refusal_response
 from agateferry_service.requests.codec import demand_to_pb
 from agateferry_service.routing.calls import CellCalls
 from agateferry_service.routing.zone_routers import ZoneRouters
@@ -31,7 +31,7 @@
 Handler = Callable[[Request], Awaitable[Response]]
 
 
-class Entry:
+class CallersApp:
     """Take requests from callers, pass them to the zone that owns them, and answer."""
 
     def __init__(
@@ -176,7 +176,7 @@
     def _response(self, reply: pb.RequestReply, fresh: bool) -> Response:
         if reply.HasField("refusal"):
             self._metrics.refused(reply.refusal.reason)
-            return refused(reply.refusal)
+            return refusal_response(reply.refusal)
         ended = has_ended(reply.view)
         status = 202 if fresh and not ended else 200
         headers = {"Location": f"/v1/requests/{reply.view.id}"} if status == 202 else {}
--- a/packages/agateferry-service/agateferry_service/http/problems.py
+++ b/packages/agateferry-service/agateferry_service/http/problems.py
@@ -52,7 +52,7 @@
     return JSONResponse(body, status_code=status, media_type=CONTENT_TYPE)
 
 
-def refused(refusal: pb.Refusal) -> Response:
+def refusal_response(refusal: pb.Refusal) -> Response:
     """Make the error response of a refusal, with the time to come back where there is one."""
     status = STATUS_OF_REASON.get(refusal.reason, 503)
     unknown = refusal.reason == RefusalReason.OUTCOME_UNKNOWN
--- a/packages/agateferry-service/agateferry_service/operators/app.py
+++ b/packages/agateferry-service/agateferry_service/operators/app.py
@@ -12,12 +12,12 @@
 from starlette.routing import Route
 
 from agateferry_core.metrics import CONTENT_TYPE, Metrics
-from agateferry_service.entry.homes import zone_of_id
+from agateferry_service.entry.home_zone import zone_of_id
 from agateferry_service.http.bodies import read_model
-from agateferry_service.http.problems import problem, refused
-from agateferry_service.operators.hosts import Hosts
+from agateferry_service.http.problems import problem, refusal_response
+from agateferry_service.operators.host_status import HostStatusReader
 from agateferry_service.operators.membership import MembershipChanges
-from agateferry_service.records.plane import NEWEST, read_records
+from agateferry_service.records.plane import NEWEST_REVISION, read_records
 from agateferry_service.routing.calls import CellCalls, RecordsCalls
 from agateferry_service.routing.zone_routers import ZoneRouters
 from agateferry_service.rpc import cell_pb2 as pb
@@ -39,7 +39,7 @@
     content: dict[str, Any]
 
 
-class Operators:
+class OperatorsApp:
     """Answer operators, from this host where it can and from the leaders where it must."""
 
     def __init__(
@@ -49,7 +49,7 @@
         cell_calls: CellCalls,
         records_calls: RecordsCalls,
         copy: RecordStore,
-        hosts: Hosts,
+        hosts: HostStatusReader,
         membership_changes: MembershipChanges,
         limits: LimitSettings,
         metrics: Metrics,
@@ -124,7 +124,7 @@
 
     async def records_status(self, req: Request) -> Response:
         """Return the revision in force on each host, and the newest that the plane agreed upon."""
-        newest, hosts = await asyncio.gather(self._newest_revision(), self._hosts.all())
+        newest, hosts = await asyncio.gather(self._newest_revision(), self._hosts.all_statuses())
         listed = [
             {
                 "host": host["host"],
@@ -163,11 +163,11 @@
 
     async def cell(self, req: Request) -> Response:
         """Return this host's share in its cell and in the records plane."""
-        return _json(self._hosts.own())
+        return _json(self._hosts.own_status())
 
     async def cells(self, req: Request) -> Response:
         """Return the same for every host."""
-        return _json({"hosts": await self._hosts.all()})
+        return _json({"hosts": await self._hosts.all_statuses()})
 
     async def healthz(self, req: Request) -> Response:
         """Answer that the daemon lives."""
@@ -203,7 +203,7 @@
 
     async def _newest_revision(self) -> int | None:
         """Return the plane's newest revision, or None where the plane cannot be reached."""
-        message = pb.QueryRequest(what=NEWEST)
+        message = pb.QueryRequest(what=NEWEST_REVISION)
         read = self._records_calls.read
         reply = await self._zones.records.call(read, message, READ_PATIENCE_MS)
         if reply.HasField("refusal"):
@@ -223,5 +223,5 @@
 
 def _query_response(reply: pb.QueryReply) -> Response:
     if reply.HasField("refusal"):
-        return refused(reply.refusal)
+        return refusal_response(reply.refusal)
     return Response(reply.body, media_type=JSON)
--- a/packages/agateferry-service/agateferry_service/operators/hosts.py
+++ b/packages/agateferry-service/agateferry_service/operators/host_status.py
@@ -13,7 +13,7 @@
 ASK_TIMEOUT_S = 1.0
 
 
-class Hosts:
+class HostStatusReader:
     """Ask every host of the system, over its operators' port, how it stands."""
 
     def __init__(self, settings: Settings, cell: Cell, plane: RecordsPlane | None) -> None:
@@ -21,7 +21,7 @@
         self._cell = cell
         self._plane = plane
 
-    def own(self) -> dict[str, Any]:
+    def own_status(self) -> dict[str, Any]:
         """Return how this host stands."""
         host = self._settings.host
         replica = self._cell.ctx.replica
@@ -36,7 +36,7 @@
             document["records"].update(replica_status(self._plane.replica))
         return document
 
-    async def all(self) -> list[dict[str, Any]]:
+    async def all_statuses(self) -> list[dict[str, Any]]:
         """Return how every host stands; one that does not answer is marked unreachable."""
         timeout = aiohttp.ClientTimeout(total=ASK_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
@@ -45,7 +45,7 @@
 
     async def _ask(self, session: aiohttp.ClientSession, peer: PeerSettings) -> dict[str, Any]:
         if peer.name == self._settings.host.name:
-            return self.own()
+            return self.own_status()
         try:
             async with session.get(f"http://{peer.operators}/v1/cell") as resp:
                 document: dict[str, Any] = await resp.json()
--- a/packages/agateferry-service/agateferry_service/operators/membership.py
+++ b/packages/agateferry-service/agateferry_service/operators/membership.py
@@ -24,8 +24,8 @@
     MEMBERSHIP_CHANGE_REFUSED,
     RECOVERY_FORCED,
 )
-from agateferry_service.operators.hosts import Hosts
-from agateferry_service.operators.refusals import Refused, refused_by
+from agateferry_service.operators.host_status import HostStatusReader
+from agateferry_service.operators.refusals import MembershipRefusal, membership_refusal
 from agateferry_service.settings import Settings
 from agateferry_state.members import Member, MemberId, Members
 from agateferry_state.replica import NodeReplica, NodeStatus, ProposeError, ProposeErrorKind
@@ -70,7 +70,7 @@
         self,
         settings: Settings,
         nodes: Mapping[Group, NodeReplica],
-        hosts: Hosts,
+        hosts: HostStatusReader,
         metrics: Metrics,
     ) -> None:
         self._settings = settings
@@ -112,11 +112,11 @@
             self._log.warning(RECOVERY_FORCED, asked=body.model_dump(mode="json"))
         return JSONResponse(result.ok)
 
-    async def _change(self, body: MembersBody) -> Result[dict[str, Any], Refused]:
+    async def _change(self, body: MembersBody) -> Result[dict[str, Any], MembershipRefusal]:
         peer = next((peer for peer in self._settings.peers if peer.name == body.host), None)
         if body.group is Group.CELL and peer is not None and peer.zone != self._settings.host.zone:
             detail = f"{body.host} is a host of {peer.zone}; ask a host there"
-            return Error(Refused(421, "wrong-zone", detail))
+            return Error(MembershipRefusal(421, "wrong-zone", detail))
         node = self._nodes.get(body.group)
         if node is None:
             return Error(self._no_voter())
@@ -133,19 +133,19 @@
         warnings = _removal_warnings(body.host, preview.ok) if _removes(body) else []
         return Ok(self._document(body, preview.ok, warnings, changed=True))
 
-    async def _recover(self, body: RecoveryBody) -> Result[dict[str, Any], Refused]:
+    async def _recover(self, body: RecoveryBody) -> Result[dict[str, Any], MembershipRefusal]:
         node = self._nodes.get(body.group)
         status = node.status() if node is not None else None
         if node is None or status is None:
             return Error(self._no_voter())
         if status.leader is not None:
             detail = f"{status.leader} leads, so no quorum is lost"
-            return Error(Refused(409, RejectReason.NOT_NEEDED, detail))
+            return Error(MembershipRefusal(409, RejectReason.NOT_NEEDED, detail))
         running = await self._still_running(body.group, status)
         if running:
             names = ", ".join(running)
             detail = f"{names} still run(s) with a log of this group; stop what is given up first"
-            return Error(Refused(409, RejectReason.UNSAFE, detail))
+            return Error(MembershipRefusal(409, RejectReason.UNSAFE, detail))
         lost = frozenset(
             MemberId(each.host, each.incarnation)
             for each in status.members
@@ -163,7 +163,9 @@
 
     async def _still_running(self, group: Group, status: NodeStatus) -> list[str]:
         """Return the other voters that answer and have not come back empty."""
-        documents = {each["host"]: each for each in await self._hosts.all() if each["reachable"]}
+        documents = {
+            each["host"]: each for each in await self._hosts.all_statuses() if each["reachable"]
+        }
         running = []
         for voter in status.members:
             document = documents.get(voter.host)
@@ -196,13 +198,13 @@
             "warnings": list(warnings),
         }
 
-    def _refusal_of(self, error: ProposeError, host: str) -> Refused:
+    def _refusal_of(self, error: ProposeError, host: str) -> MembershipRefusal:
         addresses = {peer.name: str(peer.operators) for peer in self._settings.peers}
-        return refused_by(error, host, addresses.get(error.leader or "", ""))
+        return membership_refusal(error, host, addresses.get(error.leader or "", ""))
 
     def _recovery_refusal(
         self, error: ProposeError, status: NodeStatus, lost: Sequence[str]
-    ) -> Refused:
+    ) -> MembershipRefusal:
         if error.detail != RejectReason.UNSAFE:
             return self._refusal_of(error, status.host)
         voters = {each.host for each in status.members if each.is_voter}
@@ -210,17 +212,17 @@
             detail = (
                 f"{status.host} is no voter in its own log, so it may hold nothing; ask another"
             )
-            return Refused(409, RejectReason.UNSAFE, detail)
+            return MembershipRefusal(409, RejectReason.UNSAFE, detail)
         missing = ", ".join(sorted(voters - {status.host, *lost}))
         detail = f"name every voter that is lost for good; not named: {missing}"
-        return Refused(409, RejectReason.UNSAFE, detail)
+        return MembershipRefusal(409, RejectReason.UNSAFE, detail)
 
-    def _no_voter(self) -> Refused:
+    def _no_voter(self) -> MembershipRefusal:
         voters = (f"{p.name} at {p.operators}" for p in self._settings.records_voters())
         detail = f"this host has no such log; ask {', '.join(voters)}"
-        return Refused(503, "no-voter", detail)
+        return MembershipRefusal(503, "no-voter", detail)
 
-    def _refused(self, body: BaseModel, refused: Refused) -> Response:
+    def _refused(self, body: BaseModel, refused: MembershipRefusal) -> Response:
         self._metrics.refused(refused.reason)
         asked = body.model_dump(mode="json")
         self._log.info(
--- a/packages/agateferry-service/agateferry_service/operators/refusals.py
+++ b/packages/agateferry-service/agateferry_service/operators/refusals.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class MembershipRefusal:
     """The status, the reason and the detail of a problem."""
 
     status: int
@@ -34,17 +34,19 @@
     detail: str
 
 
-def refused_by(error: ProposeError, host: str, leader_address: str) -> Refused:
+def membership_refusal(error: ProposeError, host: str, leader_address: str) -> MembershipRefusal:
     """Return the problem that a replica's refusal of a change for `host` stands for.
 
     For example a follower's refusal becomes 503 `not-leader`, with whom to ask.
     """
     if error.kind in REASONS:
         reason: str = REASONS[error.kind]
-        return Refused(503, reason, error.detail or DETAILS[reason])
+        return MembershipRefusal(503, reason, error.detail or DETAILS[reason])
     if error.detail in DETAILS:
-        return Refused(409, error.detail, DETAILS[error.detail].format(host=host))
+        return MembershipRefusal(409, error.detail, DETAILS[error.detail].format(host=host))
     if error.leader is None:
-        return Refused(503, RefusalReason.NO_LEADER, "no leader is known here")
+        return MembershipRefusal(503, RefusalReason.NO_LEADER, "no leader is known here")
     where = f" at {leader_address}" if leader_address else ""
-    return Refused(503, RefusalReason.NOT_LEADER, f"ask {error.leader}{where}, which leads")
+    return MembershipRefusal(
+        503, RefusalReason.NOT_LEADER, f"ask {error.leader}{where}, which leads"
+    )
--- a/packages/agateferry-service/agateferry_service/operators/tests/test_membership.py
+++ b/packages/agateferry-service/agateferry_service/operators/tests/test_membership.py
@@ -116,6 +116,6 @@
     def __init__(self, incarnation):
         self.incarnation = incarnation
 
-    async def all(self):
+    async def all_statuses(self):
         reachable = self.incarnation is not None
         return [{"host": "a2", "reachable": reachable, "incarnation": self.incarnation}]
--- a/packages/agateferry-service/agateferry_service/records/plane.py
+++ b/packages/agateferry-service/agateferry_service/records/plane.py
@@ -26,10 +26,10 @@
 )
 from agateferry_state.replica import Replica
 
-NEWEST = "newest"
+NEWEST_REVISION = "newest"
 
 
-class WatchedRecords(RecordsMachine):
+class NotifyingRecordsMachine(RecordsMachine):
     """Tell those who wait when a newer revision has been agreed upon."""
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         super().restore(data)
         self._wake()
 
-    async def until_newer(self, revision: int, wait_ms: int) -> None:
+    async def wait_until_newer(self, revision: int, wait_ms: int) -> None:
         """Return when a revision after the given one stands, or after `wait_ms`."""
         if self.store.revision > revision or wait_ms <= 0:
             return
@@ -64,7 +64,7 @@
     """Answer puts and reads while this host leads, and pass revisions on to the zones."""
 
     def __init__(
-        self, host: str, machine: WatchedRecords, replica: Replica, metrics: Metrics
+        self, host: str, machine: NotifyingRecordsMachine, replica: Replica, metrics: Metrics
     ) -> None:
         self._host = host
         self._machine = machine
@@ -101,7 +101,7 @@
 
     async def since(self, req: pb.RecordsRequest) -> pb.RecordsReply:
         """Return revisions after one, as soon as there are any or after the wait asked for."""
-        await self._machine.until_newer(req.after_revision, req.wait_ms)
+        await self._machine.wait_until_newer(req.after_revision, req.wait_ms)
         store = self._machine.store
         revisions = store.since(req.after_revision)
         return pb.RecordsReply(revisions=encode_revisions(revisions), newest=store.revision)
@@ -109,11 +109,11 @@
     def _put_reply(self, outcome: Any, schema: Schema) -> pb.QueryReply:
         match outcome:
             case Accepted(revision=revision):
-                return pb.QueryReply(body=json.dumps(describe(revision, schema)))
+                return pb.QueryReply(body=json.dumps(revision_json(revision, schema)))
             case Conflict(current=current):
                 self._metrics.refused(RefusalReason.VERSION_CONFLICT)
                 refused = refusal(RefusalReason.VERSION_CONFLICT, "another version stands")
-                refused.current = json.dumps(describe(current, schema) if current else None)
+                refused.current = json.dumps(revision_json(current, schema) if current else None)
                 return pb.QueryReply(refusal=refused)
             case Invalid():
                 return self._refuse(RefusalReason.INVALID, str(outcome))
@@ -128,7 +128,7 @@
         return not_leader(None if leader == self._host else leader)
 
 
-def describe(revision: Revision, schema: Schema) -> dict[str, Any]:
+def revision_json(revision: Revision, schema: Schema) -> dict[str, Any]:
     """Return a record in the form of a schema, as operators read it."""
     return {
         "kind": revision.kind.value,
@@ -142,19 +142,19 @@
 
 def read_records(store: RecordStore, req: pb.QueryRequest) -> pb.QueryReply:
     """Answer a read: one record, all of a kind, the history of one, or the newest revision."""
-    if req.what == NEWEST:
+    if req.what == NEWEST_REVISION:
         return pb.QueryReply(body=json.dumps({"revision": store.revision}))
     kind_text, name, schema_text = req.name.split("/")
     kind, schema = Kind(kind_text), Schema(schema_text)
     match req.what:
         case "list":
-            records = [describe(revision, schema) for revision in store.all_of(kind)]
+            records = [revision_json(revision, schema) for revision in store.all_of(kind)]
             return pb.QueryReply(body=json.dumps({"records": records}))
         case "history":
-            versions = [describe(revision, schema) for revision in store.history(kind, name)]
+            versions = [revision_json(revision, schema) for revision in store.history(kind, name)]
             return pb.QueryReply(body=json.dumps({"versions": versions}))
     revision = store.get(kind, name)
     if revision is None:
         detail = f"no {kind.value} record is named {name}"
         return pb.QueryReply(refusal=refusal(RefusalReason.UNKNOWN_RECORD, detail))
-    return pb.QueryReply(body=json.dumps(describe(revision, schema)))
+    return pb.QueryReply(body=json.dumps(revision_json(revision, schema)))
--- a/packages/agateferry-service/agateferry_service/settings/models.py
+++ b/packages/agateferry-service/agateferry_service/settings/models.py
@@ -11,7 +11,7 @@
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, StringConstraints, create_model
 
 from agateferry_service.settings.settings import Address
-from agateferry_service.settings.table import NAME_PATTERN, SECTIONS, SETTINGS, Form, Setting
+from agateferry_service.settings.table import NAME_PATTERN, SECTIONS, SETTINGS, Setting, ValueType
 
 MAX_PORT = 65_535
 STRICT = ConfigDict(strict=True, extra="forbid", frozen=True)
@@ -30,18 +30,18 @@
 
 
 def _kind(setting: Setting) -> Any:
-    match setting.form:
-        case Form.NAME:
+    match setting.value_type:
+        case ValueType.NAME:
             return Annotated[str, StringConstraints(pattern=NAME_PATTERN)]
-        case Form.ADDRESS:
+        case ValueType.ADDRESS:
             return Annotated[str, AfterValidator(parse_address)]
-        case Form.PATH:
+        case ValueType.PATH:
             return Annotated[str, StringConstraints(min_length=1), AfterValidator(_path)]
-        case Form.NUMBER:
-            return Annotated[int, Field(ge=setting.low, le=setting.high)]
-        case Form.FLAG:
+        case ValueType.NUMBER:
+            return Annotated[int, Field(ge=setting.min_value, le=setting.max_value)]
+        case ValueType.FLAG:
             return bool
-        case Form.LEVEL:
+        case ValueType.LEVEL:
             return Literal["debug", "info", "warning", "error"]
 
 
--- a/packages/agateferry-service/agateferry_service/settings/reader.py
+++ b/packages/agateferry-service/agateferry_service/settings/reader.py
@@ -27,7 +27,7 @@
     Settings,
     TimeoutSettings,
 )
-from agateferry_service.settings.table import RENAMED, SECTIONS, find, keys_of
+from agateferry_service.settings.table import RENAMED_KEYS, SECTIONS, find_setting, keys_of
 
 
 def load_settings(path: Path) -> Result[Settings, SettingsError]:
@@ -58,7 +58,7 @@
     renamed = dict(document)
     warnings: list[str] = []
     clashes: list[Problem] = []
-    for (section, old), new in RENAMED.items():
+    for (section, old), new in RENAMED_KEYS.items():
         table = renamed.get(section)
         if not isinstance(table, dict) or old not in table:
             continue
@@ -107,7 +107,7 @@
 
 
 def _allowed(section: str, key: str | None) -> str:
-    setting = find(section, key) if key is not None else None
+    setting = find_setting(section, key) if key is not None else None
     if setting is not None:
         return setting.allowed()
     if section == "peers":
--- a/packages/agateferry-service/agateferry_service/settings/table.py
+++ b/packages/agateferry-service/agateferry_service/settings/table.py
@@ -1,4 +1,4 @@
-"""The one table of settings: key, default, bounds, unit and meaning of each.
+"""The one table of settings: key, default, bounds, unit and description of each.
 
 The validated models, the error texts and the test of docs/settings.md are all made from it.
 """
@@ -7,7 +7,7 @@
 from enum import StrEnum
 
 
-class Form(StrEnum):
+class ValueType(StrEnum):
     """Say what kind of value a setting takes."""
 
     NAME = "name"
@@ -29,60 +29,70 @@
 
     section: str
     key: str
-    form: Form
-    meaning: str
+    value_type: ValueType
+    description: str
     default: str | int | bool | None = None
     required: bool = False
     unit: str = ""
-    low: int = 0
-    high: int = 0
+    min_value: int = 0
+    max_value: int = 0
 
     def allowed(self) -> str:
         """Return the values that this setting takes, in words."""
-        match self.form:
-            case Form.NAME:
+        match self.value_type:
+            case ValueType.NAME:
                 return "needs a name of 1 to 63 small letters, digits and hyphens"
-            case Form.ADDRESS:
+            case ValueType.ADDRESS:
                 return "needs an IP number and a port, such as 127.0.0.1:7400"
-            case Form.PATH:
+            case ValueType.PATH:
                 return "needs a path, not empty"
-            case Form.NUMBER:
+            case ValueType.NUMBER:
                 unit = f" ({self.unit})" if self.unit else ""
-                return f"needs a whole number from {self.low} to {self.high}{unit}"
-            case Form.FLAG:
+                return f"needs a whole number from {self.min_value} to {self.max_value}{unit}"
+            case ValueType.FLAG:
                 return "needs true or false"
-            case Form.LEVEL:
+            case ValueType.LEVEL:
                 return f"needs one of {', '.join(LEVELS)}"
 
 
-def _name(section: str, key: str, meaning: str) -> Setting:
-    return Setting(section, key, Form.NAME, meaning, required=True)
+def _name(section: str, key: str, description: str) -> Setting:
+    return Setting(section, key, ValueType.NAME, description, required=True)
 
 
-def _address(section: str, key: str, meaning: str) -> Setting:
-    return Setting(section, key, Form.ADDRESS, meaning, required=True)
+def _address(section: str, key: str, description: str) -> Setting:
+    return Setting(section, key, ValueType.ADDRESS, description, required=True)
 
 
-def _path(section: str, key: str, meaning: str) -> Setting:
-    return Setting(section, key, Form.PATH, meaning)
+def _path(section: str, key: str, description: str) -> Setting:
+    return Setting(section, key, ValueType.PATH, description)
 
 
-def _flag(section: str, key: str, default: bool, meaning: str) -> Setting:
-    return Setting(section, key, Form.FLAG, meaning, default=default)
+def _flag(section: str, key: str, default: bool, description: str) -> Setting:
+    return Setting(section, key, ValueType.FLAG, description, default=default)
 
 
 def _number(
-    section: str, key: str, default: int, unit: str, low: int, high: int, meaning: str
+    section: str,
+    key: str,
+    default: int,
+    unit: str,
+    min_value: int,
+    max_value: int,
+    description: str,
 ) -> Setting:
-    return Setting(section, key, Form.NUMBER, meaning, default, False, unit, low, high)
+    return Setting(
+        section, key, ValueType.NUMBER, description, default, False, unit, min_value, max_value
+    )
 
 
-def _limit(key: str, default: int, unit: str, low: int, high: int, meaning: str) -> Setting:
-    return _number("limits", key, default, unit, low, high, meaning)
+def _limit(
+    key: str, default: int, unit: str, min_value: int, max_value: int, description: str
+) -> Setting:
+    return _number("limits", key, default, unit, min_value, max_value, description)
 
 
-def _timeout(key: str, default: int, low: int, high: int, meaning: str) -> Setting:
-    return _number("timeouts", key, default, "ms", low, high, meaning)
+def _timeout(key: str, default: int, min_value: int, max_value: int, description: str) -> Setting:
+    return _number("timeouts", key, default, "ms", min_value, max_value, description)
 
 
 SETTINGS = (
@@ -181,14 +191,14 @@
         1_000_000,
         "Log entries between two snapshots.",
     ),
-    Setting("log", "level", Form.LEVEL, "Least severe lines that are written.", "info"),
+    Setting("log", "level", ValueType.LEVEL, "Least severe lines that are written.", "info"),
     _flag("log", "as_json", True, "Whether lines are JSON; otherwise a form for people."),
     _path("recording", "trace_file", "File for the trace of scheduler events; absent: off."),
 )
 
 SECTIONS = tuple(dict.fromkeys(setting.section for setting in SETTINGS))
 
-RENAMED = {
+RENAMED_KEYS = {
     ("host", "availability_zone"): "zone",
     ("host", "data_dir"): "data_folder",
     ("limits", "max_body"): "max_body_bytes",
@@ -201,6 +211,6 @@
     return tuple(setting.key for setting in SETTINGS if setting.section == section)
 
 
-def find(section: str, key: str) -> Setting | None:
+def find_setting(section: str, key: str) -> Setting | None:
     """Return one setting, or None where there is none by that name."""
     return next((s for s in SETTINGS if (s.section, s.key) == (section, key)), None)
--- a/tools/settings.py
+++ b/tools/settings.py
@@ -8,7 +8,7 @@
 sys.path[:0] = [str(package) for package in sorted((ROOT / "packages").iterdir())]
 
 from agateferry_service.settings.table import (  # noqa: E402
-    RENAMED,
+    RENAMED_KEYS,
     SECTIONS,
     SETTINGS,
     Setting,
@@ -25,7 +25,7 @@
     default = "absent" if setting.default is None else f"`{str(setting.default).lower()}`"
     default = "required" if setting.required else default
     allowed = setting.allowed().removeprefix("needs ").removesuffix(f" ({setting.unit})")
-    cells = (f"`{setting.key}`", default, setting.unit or "-", allowed, setting.meaning)
+    cells = (f"`{setting.key}`", default, setting.unit or "-", allowed, setting.description)
     return f"| {' | '.join(cells)} |"
 
 
@@ -42,7 +42,7 @@
             section = next(sections)
             lines += [row(setting) for setting in SETTINGS if setting.section == section]
         elif line == OLD_RULE:
-            lines += [f"| _{s}.{old}_ | _{s}.{new}_ |" for (s, old), new in RENAMED.items()]
+            lines += [f"| _{s}.{old}_ | _{s}.{new}_ |" for (s, old), new in RENAMED_KEYS.items()]
     return "\n".join(lines) + "\n"
 
 
