--- a/packages/agateferry-service/agateferry_service/operators/__init__.py
+++ b/packages/agateferry-service/agateferry_service/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' port: records, views of the zone, health and metrics."""
+"""The operators' HTTP port: records, views of the zone, membership, health and metrics."""
--- a/packages/agateferry-service/agateferry_service/operators/app.py
+++ b/packages/agateferry-service/agateferry_service/operators/app.py
@@ -24,13 +24,13 @@
 from agateferry_service.settings import LimitSettings
 from agateferry_state.records import Kind, RecordStore, Schema
 
-PATIENCE_MS = 5_000
-READ_PATIENCE_MS = 1_500
-JSON = "application/json"
+CALL_TIMEOUT_MS = 5_000
+RECORDS_READ_TIMEOUT_MS = 1_500
+JSON_CONTENT_TYPE = "application/json"
 
 
 class PutBody(BaseModel):
-    """A new version of a record; the content is checked by the records plane."""
+    """The body of a put: a new version of a record, whose content the records plane checks."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
@@ -40,7 +40,7 @@
 
 
 class OperatorsApp:
-    """Answer operators, from this host where it can and from the leaders where it must."""
+    """Serve operators from this host's state, or by a call to the leader that owns the answer."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         zones: ZoneRouters,
         cell_calls: CellCalls,
         records_calls: RecordsCalls,
-        copy: RecordStore,
+        local_records: RecordStore,
         hosts: HostStatusReader,
         membership_changes: MembershipChanges,
         limits: LimitSettings,
@@ -60,7 +60,7 @@
         self._zones = zones
         self._cell_calls = cell_calls
         self._records_calls = records_calls
-        self._copy = copy
+        self._local_records = local_records
         self._hosts = hosts
         self._membership_changes = membership_changes
         self._limits = limits
@@ -107,23 +107,27 @@
             content=json.dumps(body.content),
         )
         put = self._records_calls.put
-        reply = await self._zones.records.call(put, message, PATIENCE_MS)
+        reply = await self._zones.records.call(put, message, CALL_TIMEOUT_MS)
         return _query_response(reply)
 
     async def get_record(self, req: Request) -> Response:
-        """Return what stands under a name."""
+        """Return the current version of a record."""
         return await self._read(req, "get")
 
     async def list_records(self, req: Request) -> Response:
-        """Return all records of a kind."""
+        """Return the current version of every record of a kind."""
         return await self._read(req, "list")
 
     async def history(self, req: Request) -> Response:
-        """Return the kept versions of a record."""
+        """Return the stored versions of a record."""
         return await self._read(req, "history")
 
     async def records_status(self, req: Request) -> Response:
-        """Return the revision in force on each host, and the newest that the plane agreed upon."""
+        """Return the records revision in force on each host, and the newest committed one.
+
+        Without a reply from the records plane, the newest is the highest of all hosts' revisions,
+        and the response has the header `Agateferry-Stale`.
+        """
         newest, hosts = await asyncio.gather(self._newest_revision(), self._hosts.all_statuses())
         listed = [
             {
@@ -134,8 +138,8 @@
             }
             for host in hosts
         ]
-        copies = max((host["revision"] or 0 for host in listed), default=0)
-        resp = _json({"hosts": listed, "newest": max(newest or 0, copies)})
+        newest_on_hosts = max((host["revision"] or 0 for host in listed), default=0)
+        resp = _json({"hosts": listed, "newest": max(newest or 0, newest_on_hosts)})
         if newest is None:
             resp.headers["Agateferry-Stale"] = "true"
         return resp
@@ -145,83 +149,86 @@
         return await self._query(self._zone, "workers", "")
 
     async def teams(self, req: Request) -> Response:
-        """Return the teams and what they hold in this zone."""
+        """Return the teams of this zone with their guarantees, allocations and queue lengths."""
         return await self._query(self._zone, "teams", "")
 
     async def queue(self, req: Request) -> Response:
-        """Return the requests of this zone that have no end yet."""
+        """Return the requests of this zone that have not ended."""
         return await self._query(self._zone, "queue", "")
 
     async def explain(self, req: Request) -> Response:
-        """Tell why a request is where it is."""
+        """Return a request's state, and what it waits for."""
         request_id = req.path_params["id"]
         home = zone_of_id(request_id)
         if home not in self._zones.names:
-            detail = f"no zone here issued an id like {request_id}"
+            detail = f"the id {request_id} names no zone of this system"
             return problem(404, "unknown-request", detail, run=None)
         return await self._query(home, "explain", request_id)
 
     async def cell(self, req: Request) -> Response:
-        """Return this host's share in its cell and in the records plane."""
+        """Return the status of this host's replicas of its cell and of the records plane."""
         return _json(self._hosts.own_status())
 
     async def cells(self, req: Request) -> Response:
-        """Return the same for every host."""
+        """Return the status of the replicas of every host."""
         return _json({"hosts": await self._hosts.all_statuses()})
 
     async def healthz(self, req: Request) -> Response:
-        """Answer that the daemon lives."""
+        """Return 200 while the daemon runs."""
         return PlainTextResponse("alive\n")
 
     async def readyz(self, req: Request) -> Response:
-        """Tell the balancer whether to send callers here."""
+        """Tell the load balancer whether to send callers to this host."""
         if self._is_ready():
             return PlainTextResponse("ready\n")
         return PlainTextResponse("not ready\n", status_code=503)
 
     async def metrics(self, req: Request) -> Response:
-        """Return the metrics in the text form of Prometheus."""
+        """Return the metrics in the Prometheus text format."""
         self._refresh_gauges()
         return Response(self._metrics.render(), media_type=CONTENT_TYPE)
 
-    async def _read(self, req: Request, what: str) -> Response:
-        """Read from the records plane; when it cannot be reached, from the zone's copy."""
+    async def _read(self, req: Request, query: str) -> Response:
+        """Read from the records plane, or from the zone's copy if the plane cannot be reached.
+
+        `query` is get, list or history. A response from the copy has `Agateferry-Stale`.
+        """
         kind, schema = req.path_params["kind"], req.query_params.get("schema", "v2")
         if kind not in list(Kind) or schema not in list(Schema):
             detail = "kinds are team, job and config; schemas are v1 and v2"
             return problem(404, "unknown-record", detail, run=None)
         message = pb.QueryRequest(
-            what=what, name=f"{kind}/{req.path_params.get('name', '')}/{schema}"
+            what=query, name=f"{kind}/{req.path_params.get('name', '')}/{schema}"
         )
         read = self._records_calls.read
-        reply = await self._zones.records.call(read, message, READ_PATIENCE_MS)
+        reply = await self._zones.records.call(read, message, RECORDS_READ_TIMEOUT_MS)
         if reply.HasField("refusal") and reply.refusal.reason != "unknown-record":
-            resp = _query_response(read_records(self._copy, message))
+            resp = _query_response(read_records(self._local_records, message))
             resp.headers["Agateferry-Stale"] = "true"
             return resp
         return _query_response(reply)
 
     async def _newest_revision(self) -> int | None:
-        """Return the plane's newest revision, or None where the plane cannot be reached."""
+        """Return the newest committed revision, or None if the records plane cannot be reached."""
         message = pb.QueryRequest(what=NEWEST_REVISION)
         read = self._records_calls.read
-        reply = await self._zones.records.call(read, message, READ_PATIENCE_MS)
+        reply = await self._zones.records.call(read, message, RECORDS_READ_TIMEOUT_MS)
         if reply.HasField("refusal"):
             return None
         newest: int = json.loads(reply.body)["revision"]
         return newest
 
-    async def _query(self, zone: str, what: str, name: str) -> Response:
+    async def _query(self, zone: str, view: str, name: str) -> Response:
         query = self._cell_calls.query
-        message = pb.QueryRequest(what=what, name=name)
-        return _query_response(await self._zones.router(zone).call(query, message, PATIENCE_MS))
+        message = pb.QueryRequest(what=view, name=name)
+        return _query_response(await self._zones.router(zone).call(query, message, CALL_TIMEOUT_MS))
 
 
 def _json(document: Any) -> Response:
-    return Response(json.dumps(document), media_type=JSON)
+    return Response(json.dumps(document), media_type=JSON_CONTENT_TYPE)
 
 
 def _query_response(reply: pb.QueryReply) -> Response:
     if reply.HasField("refusal"):
         return refusal_response(reply.refusal)
-    return Response(reply.body, media_type=JSON)
+    return Response(reply.body, media_type=JSON_CONTENT_TYPE)
--- a/packages/agateferry-service/agateferry_service/operators/events.py
+++ b/packages/agateferry-service/agateferry_service/operators/events.py
@@ -2,12 +2,18 @@
 
 from agateferry_core.logs import Event
 
-MEMBERS_CHANGED = Event(4201, "members changed by an operator", "Nothing to do.")
+MEMBERS_CHANGED = Event(
+    4201,
+    "operator changed the members of a replicated log",
+    "Normal; if nobody asked for the change, see who can reach the operators' port.",
+)
 RECOVERY_FORCED = Event(
     4202,
-    "a log was taken as the truth by an operator",
-    "Bring the hosts that were given up back with an empty folder.",
+    "operator forced recovery from this host's log",
+    "Restart each host that was named as lost with an empty data folder.",
 )
 MEMBERSHIP_CHANGE_REFUSED = Event(
-    4203, "an operator's change of members was refused", "Do what the detail says."
+    4203,
+    "operator's membership change or recovery refused",
+    "See the detail, which names the cause and the next step.",
 )
--- a/packages/agateferry-service/agateferry_service/operators/host_status.py
+++ b/packages/agateferry-service/agateferry_service/operators/host_status.py
@@ -1,4 +1,4 @@
-"""What each host says of its share in its cell and in the records plane."""
+"""The status of every host's replicas of its cell and of the records plane."""
 
 import asyncio
 from typing import Any
@@ -10,11 +10,11 @@
 from agateferry_service.settings import PeerSettings, Settings
 from agateferry_state.replica import NodeReplica, NodeStatus, Replica
 
-ASK_TIMEOUT_S = 1.0
+STATUS_TIMEOUT_S = 1.0
 
 
 class HostStatusReader:
-    """Ask every host of the system, over its operators' port, how it stands."""
+    """Collect the replica status of every host of the system over its operators' port."""
 
     def __init__(self, settings: Settings, cell: Cell, plane: RecordsPlane | None) -> None:
         self._settings = settings
@@ -22,7 +22,7 @@
         self._plane = plane
 
     def own_status(self) -> dict[str, Any]:
-        """Return how this host stands."""
+        """Return the status of this host's replicas."""
         host = self._settings.host
         replica = self._cell.ctx.replica
         document = {
@@ -37,13 +37,15 @@
         return document
 
     async def all_statuses(self) -> list[dict[str, Any]]:
-        """Return how every host stands; one that does not answer is marked unreachable."""
-        timeout = aiohttp.ClientTimeout(total=ASK_TIMEOUT_S)
+        """Return the status of every host; one without a valid reply is marked unreachable."""
+        timeout = aiohttp.ClientTimeout(total=STATUS_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            asked = (self._ask(session, peer) for peer in self._settings.peers)
-            return list(await asyncio.gather(*asked))
+            statuses = (self._fetch_status(session, peer) for peer in self._settings.peers)
+            return list(await asyncio.gather(*statuses))
 
-    async def _ask(self, session: aiohttp.ClientSession, peer: PeerSettings) -> dict[str, Any]:
+    async def _fetch_status(
+        self, session: aiohttp.ClientSession, peer: PeerSettings
+    ) -> dict[str, Any]:
         if peer.name == self._settings.host.name:
             return self.own_status()
         try:
@@ -55,11 +57,11 @@
 
 
 def replica_status(replica: Replica) -> dict[str, Any]:
-    """Return the role, the term, the leader and the members that a replica knows of."""
+    """Return the role, term, leader and members of a group, as a replica knows them."""
     status = replica.status() if isinstance(replica, NodeReplica) else None
-    own = {} if status is None else _own_log(status)
+    log_position = {} if status is None else _log_position(status)
     return {
-        **own,
+        **log_position,
         "term": replica.term,
         "role": "leader" if replica.is_leader else "follower",
         "leader": replica.leader,
@@ -67,8 +69,8 @@
     }
 
 
-def _own_log(status: NodeStatus) -> dict[str, Any]:
-    """Return which incarnation this is and how far its log reaches, for operators to compare."""
+def _log_position(status: NodeStatus) -> dict[str, Any]:
+    """Return the replica's incarnation and last log entry, so that operators compare hosts."""
     return {
         "incarnation": status.incarnation,
         "log": {"term": status.last_term, "index": status.last_index},
@@ -76,7 +78,7 @@
 
 
 def _members(status: NodeStatus | None) -> list[dict[str, Any]]:
-    """Return the members of a replicated group; one that is no voter still catches up."""
+    """Return the members of a group; a member that is not a voter is a learner."""
     if status is None:
         return []
     return [
--- a/packages/agateferry-service/agateferry_service/operators/membership.py
+++ b/packages/agateferry-service/agateferry_service/operators/membership.py
@@ -1,7 +1,7 @@
-"""Operators' words on the members of this host's replicated logs.
+"""Operators' changes to the members of this host's replicated logs.
 
-Each call can be a dry run, which tells what would happen now and changes nothing. What the logs
-themselves refuse as unsafe is refused here with the same reason.
+Each call can be a dry run, which returns what the call would do now and changes nothing. A change
+that the replication core rejects as unsafe is refused with the same reason.
 """
 
 import asyncio
@@ -31,19 +31,19 @@
 from agateferry_state.replica import NodeReplica, NodeStatus, ProposeError, ProposeErrorKind
 from agateferry_state.replication.messages import MemberAction, RejectReason
 
-ANSWER_WITHIN_S = 5.0
-MAX_LOST = 32
+COMMIT_TIMEOUT_S = 5.0
+MAX_LOST_HOSTS = 32
 
 
 class Group(StrEnum):
-    """Say which replicated log is meant."""
+    """A replicated log: that of the zone's cell or that of the records plane."""
 
     CELL = "cell"
     RECORDS = "records"
 
 
 class MembersBody(BaseModel):
-    """A change of one member."""
+    """The body of a request to admit or remove one member."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
@@ -54,17 +54,17 @@
 
 
 class RecoveryBody(BaseModel):
-    """The hosts that are lost for good, where the asked host's log becomes the truth."""
+    """The body of a request for forced recovery, with the hosts that are permanently lost."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
     group: Group
-    lost: list[str] = Field(max_length=MAX_LOST)
+    lost: list[str] = Field(max_length=MAX_LOST_HOSTS)
     dry_run: bool = False
 
 
 class MembershipChanges:
-    """Carry out an operator's change of members, or tell what it would do."""
+    """Execute an operator's membership change or forced recovery, or preview it."""
 
     def __init__(
         self,
@@ -87,27 +87,30 @@
         ]
 
     async def change(self, req: Request) -> Response:
-        """Admit or remove a member; answered by the leader of the group."""
+        """Admit or remove a member; only the leader of the group accepts this."""
         parsed = await self._read(req, MembersBody)
         if parsed.is_error():
             return parsed.error
         body = parsed.ok
         result = await self._change(body)
         if result.is_error():
-            return self._refused(body, result.error)
+            return self._refusal_response(body, result.error)
         if result.ok["changed"] and not body.dry_run:
             self._log.info(MEMBERS_CHANGED, asked=body.model_dump(mode="json"))
         return JSONResponse(result.ok)
 
     async def recover(self, req: Request) -> Response:
-        """Take this host's log as the truth, where no leader and no other log is left."""
+        """Make this host's log authoritative after the group has permanently lost its quorum.
+
+        It is refused while a leader is known or another voter still runs with its log.
+        """
         parsed = await self._read(req, RecoveryBody)
         if parsed.is_error():
             return parsed.error
         body = parsed.ok
         result = await self._recover(body)
         if result.is_error():
-            return self._refused(body, result.error)
+            return self._refusal_response(body, result.error)
         if not body.dry_run:
             self._log.warning(RECOVERY_FORCED, asked=body.model_dump(mode="json"))
         return JSONResponse(result.ok)
@@ -115,21 +118,21 @@
     async def _change(self, body: MembersBody) -> Result[dict[str, Any], MembershipRefusal]:
         peer = next((peer for peer in self._settings.peers if peer.name == body.host), None)
         if body.group is Group.CELL and peer is not None and peer.zone != self._settings.host.zone:
-            detail = f"{body.host} is a host of {peer.zone}; ask a host there"
+            detail = f"{body.host} is a host of {peer.zone}; send this to a host of that zone"
             return Error(MembershipRefusal(421, "wrong-zone", detail))
         node = self._nodes.get(body.group)
         if node is None:
-            return Error(self._no_voter())
+            return Error(self._no_replica())
         preview = node.preview_change(body.action, body.host)
         if preview.is_error():
             if preview.error.detail == RejectReason.NOT_NEEDED:
                 return Ok(self._unchanged(body, node))
-            return Error(self._refusal_of(preview.error, body.host))
+            return Error(self._membership_refusal(preview.error, body.host))
         if not body.dry_run:
             member = Member(MemberId(body.host))
-            outcome = await _answered(node.change_member(body.action, member))
+            outcome = await _wait_for_commit(node.change_member(body.action, member))
             if outcome.is_error():
-                return Error(self._refusal_of(outcome.error, body.host))
+                return Error(self._membership_refusal(outcome.error, body.host))
         warnings = _removal_warnings(body.host, preview.ok) if _removes(body) else []
         return Ok(self._document(body, preview.ok, warnings, changed=True))
 
@@ -137,42 +140,47 @@
         node = self._nodes.get(body.group)
         status = node.status() if node is not None else None
         if node is None or status is None:
-            return Error(self._no_voter())
+            return Error(self._no_replica())
         if status.leader is not None:
             detail = f"{status.leader} leads, so no quorum is lost"
             return Error(MembershipRefusal(409, RejectReason.NOT_NEEDED, detail))
-        running = await self._still_running(body.group, status)
+        running = await self._voters_still_running(body.group, status)
         if running:
             names = ", ".join(running)
-            detail = f"{names} still run(s) with a log of this group; stop what is given up first"
+            detail = f"{names} still run(s) with a log of this group; stop these hosts first"
             return Error(MembershipRefusal(409, RejectReason.UNSAFE, detail))
         lost = frozenset(
-            MemberId(each.host, each.incarnation)
-            for each in status.members
-            if each.host in body.lost
+            MemberId(member.host, member.incarnation)
+            for member in status.members
+            if member.host in body.lost
         )
         preview = node.preview_recovery(lost)
         if preview.is_error():
             return Error(self._recovery_refusal(preview.error, status, body.lost))
         if not body.dry_run:
-            outcome = await _answered(node.force_recovery(lost))
+            outcome = await _wait_for_commit(node.force_recovery(lost))
             if outcome.is_error():
                 return Error(self._recovery_refusal(outcome.error, status, body.lost))
         document = self._document(body, preview.ok, _recovery_warnings(status), changed=True)
         return Ok(document | {"log": {"term": status.last_term, "index": status.last_index}})
 
-    async def _still_running(self, group: Group, status: NodeStatus) -> list[str]:
-        """Return the other voters that answer and have not come back empty."""
+    async def _voters_still_running(self, group: Group, status: NodeStatus) -> list[str]:
+        """Return the other voters that reply and still have their log.
+
+        A voter whose host restarted with an empty data folder has another incarnation.
+        """
         documents = {
-            each["host"]: each for each in await self._hosts.all_statuses() if each["reachable"]
+            status["host"]: status
+            for status in await self._hosts.all_statuses()
+            if status["reachable"]
         }
         running = []
         for voter in status.members:
             document = documents.get(voter.host)
             if not voter.is_voter or document is None or voter.host == status.host:
                 continue
-            share = document if group is Group.CELL else document["records"]
-            if share.get("incarnation", voter.incarnation) == voter.incarnation:
+            replica = document if group is Group.CELL else document["records"]
+            if replica.get("incarnation", voter.incarnation) == voter.incarnation:
                 running.append(voter.host)
         return running
 
@@ -192,13 +200,13 @@
             "asked": self._settings.host.name,
             "zone": self._settings.host.zone,
             "changed": changed,
-            "voters": [each.id.host for each in members.voters],
-            "learners": [each.id.host for each in members.learners],
+            "voters": [member.id.host for member in members.voters],
+            "learners": [member.id.host for member in members.learners],
             "removed": list(members.removed),
             "warnings": list(warnings),
         }
 
-    def _refusal_of(self, error: ProposeError, host: str) -> MembershipRefusal:
+    def _membership_refusal(self, error: ProposeError, host: str) -> MembershipRefusal:
         addresses = {peer.name: str(peer.operators) for peer in self._settings.peers}
         return membership_refusal(error, host, addresses.get(error.leader or "", ""))
 
@@ -206,35 +214,35 @@
         self, error: ProposeError, status: NodeStatus, lost: Sequence[str]
     ) -> MembershipRefusal:
         if error.detail != RejectReason.UNSAFE:
-            return self._refusal_of(error, status.host)
-        voters = {each.host for each in status.members if each.is_voter}
+            return self._membership_refusal(error, status.host)
+        voters = {member.host for member in status.members if member.is_voter}
         if status.host not in voters:
             detail = (
-                f"{status.host} is no voter in its own log, so it may hold nothing; ask another"
+                f"{status.host} is not a voter in its own log, which may be empty; use another host"
             )
             return MembershipRefusal(409, RejectReason.UNSAFE, detail)
         missing = ", ".join(sorted(voters - {status.host, *lost}))
-        detail = f"name every voter that is lost for good; not named: {missing}"
+        detail = f"name every voter that is permanently lost; not named: {missing}"
         return MembershipRefusal(409, RejectReason.UNSAFE, detail)
 
-    def _no_voter(self) -> MembershipRefusal:
+    def _no_replica(self) -> MembershipRefusal:
         voters = (f"{p.name} at {p.operators}" for p in self._settings.records_voters())
-        detail = f"this host has no such log; ask {', '.join(voters)}"
+        detail = f"this host has no replica of this log; these hosts have one: {', '.join(voters)}"
         return MembershipRefusal(503, "no-voter", detail)
 
-    def _refused(self, body: BaseModel, refused: MembershipRefusal) -> Response:
-        self._metrics.refused(refused.reason)
-        asked = body.model_dump(mode="json")
+    def _refusal_response(self, body: BaseModel, refusal: MembershipRefusal) -> Response:
+        self._metrics.refused(refusal.reason)
+        request = body.model_dump(mode="json")
         self._log.info(
-            MEMBERSHIP_CHANGE_REFUSED, reason=refused.reason, detail=refused.detail, asked=asked
+            MEMBERSHIP_CHANGE_REFUSED, reason=refusal.reason, detail=refusal.detail, asked=request
         )
-        return problem(refused.status, refused.reason, refused.detail, run=None)
+        return problem(refusal.status, refusal.reason, refusal.detail, run=None)
 
 
-async def _answered(change: Any) -> Result[Any, ProposeError]:
-    """Wait for the outcome of a change; one that no quorum takes up has none."""
+async def _wait_for_commit(change: Any) -> Result[Any, ProposeError]:
+    """Wait until a change is committed or rejected; after a timeout its outcome is unknown."""
     try:
-        async with asyncio.timeout(ANSWER_WITHIN_S):
+        async with asyncio.timeout(COMMIT_TIMEOUT_S):
             result: Result[Any, ProposeError] = await change
             return result
     except TimeoutError:
@@ -245,20 +253,21 @@
     return body.action is MemberAction.REMOVE
 
 
-def _removal_warnings(host: str, after: Members) -> list[str]:
-    disks = sum(1 for member in after.voters if member.has_disk)
-    spare = (len(after.voters) - 1) // 2
+def _removal_warnings(host: str, members_after: Members) -> list[str]:
+    voters_with_disk = sum(1 for member in members_after.voters if member.has_disk)
+    tolerated_failures = (len(members_after.voters) - 1) // 2
     return [
-        f"the copy on {host} counts no more; {disks} voter(s) with a disk are left",
-        f"of the {len(after.voters)} voter(s) left, {spare} may fail before the group stops",
+        f"{host} is no longer a member; {voters_with_disk} voter(s) with a disk are left",
+        f"of the {len(members_after.voters)} voter(s) left, {tolerated_failures} may fail before "
+        "the group stops",
     ]
 
 
 def _recovery_warnings(status: NodeStatus) -> list[str]:
-    others = ", ".join(each.host for each in status.members if each.host != status.host)
+    other_hosts = ", ".join(member.host for member in status.members if member.host != status.host)
     return [
-        f"what the log of {status.host} lacks after term {status.last_term}, index "
-        f"{status.last_index} is lost for good, though it may have been accepted",
-        f"the logs on {others or 'other hosts'} count no more; those hosts come back with an "
-        "empty folder",
+        f"entries after term {status.last_term}, index {status.last_index} are not in the log of "
+        f"{status.host} and are permanently lost, even if they were committed",
+        f"the logs on {other_hosts or 'other hosts'} become invalid; restart those hosts with an "
+        "empty data folder",
     ]
--- a/packages/agateferry-service/agateferry_service/operators/refusals.py
+++ b/packages/agateferry-service/agateferry_service/operators/refusals.py
@@ -1,4 +1,4 @@
-"""Why an operator's change of members is refused, and what to do about it."""
+"""Why an operator's membership change is refused, and what to do about it."""
 
 from dataclasses import dataclass
 
@@ -6,20 +6,20 @@
 from agateferry_state.replica import ProposeError, ProposeErrorKind
 from agateferry_state.replication.messages import RejectReason
 
-REASONS = {
+REASON_OF_ERROR = {
     ProposeErrorKind.UNKNOWN: RefusalReason.OUTCOME_UNKNOWN,
     ProposeErrorKind.STOPPED: RefusalReason.STOPPING,
     ProposeErrorKind.STORAGE_FAILED: RefusalReason.STORAGE_FAILED,
 }
 
-DETAILS: dict[str, str] = {
-    RejectReason.NOT_READY: "{host} has not made itself known to the leader; start it with an "
-    "empty folder and the settings of the others",
-    RejectReason.BUSY: "another change of members is not committed yet; try again in a moment",
-    RejectReason.NOT_NEEDED: "the members are already so",
-    RejectReason.UNSAFE: "{host} cannot be taken out or let in without the risk of losing what was "
-    "accepted: see which hosts run, and bring others back first",
-    RefusalReason.OUTCOME_UNKNOWN: "no quorum has answered; look at the members, then repeat",
+DETAIL_OF_REASON: dict[str, str] = {
+    RejectReason.NOT_READY: "{host} has not contacted the leader; start it with an empty "
+    "data folder and the same [[peers]] as the other hosts",
+    RejectReason.BUSY: "another membership change is not committed yet; retry in a few seconds",
+    RejectReason.NOT_NEEDED: "the members already have this state",
+    RejectReason.UNSAFE: "changing the membership of {host} could lose committed entries: see "
+    "which hosts run, and restart the others first",
+    RefusalReason.OUTCOME_UNKNOWN: "no quorum replied; check the members, then retry",
     RefusalReason.STOPPING: "this host is stopping",
     RefusalReason.STORAGE_FAILED: "the disk of this host failed",
 }
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipRefusal:
-    """The status, the reason and the detail of a problem."""
+    """The HTTP status, reason and detail of a refused membership change."""
 
     status: int
     reason: str
@@ -35,18 +35,20 @@
 
 
 def membership_refusal(error: ProposeError, host: str, leader_address: str) -> MembershipRefusal:
-    """Return the problem that a replica's refusal of a change for `host` stands for.
+    """Return the refusal for an error of a replica when it changes the membership of `host`.
 
-    For example a follower's refusal becomes 503 `not-leader`, with whom to ask.
+    For example an error of a follower becomes 503 `not-leader`, and the detail names the leader.
     """
-    if error.kind in REASONS:
-        reason: str = REASONS[error.kind]
-        return MembershipRefusal(503, reason, error.detail or DETAILS[reason])
-    if error.detail in DETAILS:
-        return MembershipRefusal(409, error.detail, DETAILS[error.detail].format(host=host))
+    if error.kind in REASON_OF_ERROR:
+        reason: str = REASON_OF_ERROR[error.kind]
+        return MembershipRefusal(503, reason, error.detail or DETAIL_OF_REASON[reason])
+    if error.detail in DETAIL_OF_REASON:
+        return MembershipRefusal(
+            409, error.detail, DETAIL_OF_REASON[error.detail].format(host=host)
+        )
     if error.leader is None:
         return MembershipRefusal(503, RefusalReason.NO_LEADER, "no leader is known here")
-    where = f" at {leader_address}" if leader_address else ""
+    address = f" at {leader_address}" if leader_address else ""
     return MembershipRefusal(
-        503, RefusalReason.NOT_LEADER, f"ask {error.leader}{where}, which leads"
+        503, RefusalReason.NOT_LEADER, f"send this to the leader, {error.leader}{address}"
     )
--- a/packages/agateferry-service/agateferry_service/operators/tests/test_app.py
+++ b/packages/agateferry-service/agateferry_service/operators/tests/test_app.py
@@ -7,7 +7,7 @@
 
 
 class RecordsStatusTests(testtools.TestCase):
-    def test_newest_comes_from_the_records_plane(self):
+    def test_newest_revision_comes_from_the_records_plane(self):
         async def main():
             async with running_host() as client:
                 client.host.cell.ctx.machine.records.adopt = lambda *_: None
@@ -18,7 +18,7 @@
         self.assertEqual((1, 0), (body["newest"], body["hosts"][0]["revision"]))
         self.assertNotIn("Agateferry-Stale", headers)
 
-    def test_without_the_plane_newest_comes_from_the_copies(self):
+    def test_without_the_records_plane_newest_revision_comes_from_the_hosts(self):
         async def main():
             async with running_host() as client:
                 await client.put("team", "t", {})
--- a/packages/agateferry-service/agateferry_service/operators/tests/test_membership.py
+++ b/packages/agateferry-service/agateferry_service/operators/tests/test_membership.py
@@ -10,7 +10,7 @@
 from agateferry_state.replica import Applied, MemberStatus, ProposeError, ProposeErrorKind
 
 
-def on_host(work):
+def run_on_host(work):
     async def main():
         async with running_host() as client:
             return await work(client)
@@ -29,28 +29,28 @@
 
 
 class MembersTests(testtools.TestCase):
-    def test_a_member_that_is_there_already_changes_nothing(self):
-        status, body, _ = on_host(lambda client: members(client, "admit"))
+    def test_admitting_a_member_again_changes_nothing(self):
+        status, body, _ = run_on_host(lambda client: members(client, "admit"))
         self.assertEqual((200, False, ["a1"]), (status, body["changed"], body["voters"]))
 
-    def test_a_host_that_is_no_member_need_not_be_removed(self):
-        status, body, _ = on_host(lambda client: members(client, "remove", "a9", "records"))
+    def test_removing_a_host_that_is_not_a_member_changes_nothing(self):
+        status, body, _ = run_on_host(lambda client: members(client, "remove", "a9", "records"))
         self.assertEqual((200, False), (status, body["changed"]))
 
-    def test_the_last_voter_is_not_removed_nor_is_that_promised_by_a_dry_run(self):
+    def test_the_last_voter_cannot_be_removed_not_even_in_a_dry_run(self):
         async def work(client):
             dry = await members(client, "remove", dry_run=True)
             return dry[:2], (await members(client, "remove"))[:2]
 
-        for status, body in on_host(work):
+        for status, body in run_on_host(work):
             self.assertEqual((409, "unsafe"), (status, body["reason"]))
 
-    def test_a_host_that_was_not_heard_is_not_admitted(self):
-        status, body, _ = on_host(lambda client: members(client, "admit", "a2"))
+    def test_a_host_that_has_not_contacted_the_leader_is_not_admitted(self):
+        status, body, _ = run_on_host(lambda client: members(client, "admit", "a2"))
         self.assertEqual((409, "not-ready"), (status, body["reason"]))
-        self.assertIn("a2 has not made itself known", body["detail"])
+        self.assertIn("a2 has not contacted the leader", body["detail"])
 
-    def test_another_form_of_body_is_refused(self):
+    def test_an_invalid_body_is_refused(self):
         async def work(client):
             return [
                 (await members(client, "promote"))[0],
@@ -58,44 +58,44 @@
                 (await members(client, "admit", dry_run="yes"))[0],
             ]
 
-        self.assertEqual([422, 422, 422], on_host(work))
+        self.assertEqual([422, 422, 422], run_on_host(work))
 
 
 class RecoveryTests(testtools.TestCase):
-    def test_a_group_that_has_a_leader_needs_no_recovery(self):
+    def test_recovery_is_refused_while_the_group_has_a_leader(self):
         async def work(client):
             return [await recovery(client, dry_run=True), await recovery(client)]
 
-        for status, body, _ in on_host(work):
+        for status, body, _ in run_on_host(work):
             self.assertEqual((409, "not-needed"), (status, body["reason"]))
 
-    def test_a_host_that_still_runs_with_its_log_is_not_given_up(self):
-        refused = self.recover(["a2"], answering="i2").error
+    def test_recovery_is_refused_while_a_lost_host_still_runs_with_its_log(self):
+        refused = self.recover(["a2"], a2_incarnation="i2").error
         self.assertEqual((409, "unsafe"), (refused.status, refused.reason))
         self.assertIn("a2 still run(s)", refused.detail)
 
-    def test_a_host_that_came_back_empty_may_be_given_up(self):
-        document = self.recover(["a2"], answering="another").ok
+    def test_a_host_that_restarted_empty_may_be_named_as_lost(self):
+        document = self.recover(["a2"], a2_incarnation="another").ok
         self.assertEqual((["a1"], {"term": 2, "index": 9}), (document["voters"], document["log"]))
         self.assertIn("after term 2, index 9", document["warnings"][0])
 
-    def test_a_voter_that_is_not_named_is_told(self):
+    def test_a_voter_that_is_not_named_as_lost_is_in_the_detail(self):
         refused = self.recover([]).error
         self.assertEqual("unsafe", refused.reason)
         self.assertIn("not named: a2", refused.detail)
 
-    def recover(self, lost, answering=None):
+    def recover(self, lost, a2_incarnation=None):
         membership_changes = MembershipChanges(
             SimpleNamespace(host=SimpleNamespace(name="a1", zone="z"), peers=()),
-            {Group.CELL: LeftNode()},
-            OtherHost(answering),
+            {Group.CELL: LastNode()},
+            FakeHostStatusReader(a2_incarnation),
             None,
         )
         return run_async(membership_changes._recover(RecoveryBody(group=Group.CELL, lost=lost)))
 
 
-class LeftNode:
-    """A replica that was left alone by a2 and recovers once that is given up."""
+class LastNode:
+    """The replica of a1, which lost its quorum and can recover if a2 is named as lost."""
 
     def status(self):
         members = tuple(MemberStatus(f"a{n}", f"i{n}", True, True, None) for n in (1, 2))
@@ -110,8 +110,8 @@
         return Ok(Applied(10, None))
 
 
-class OtherHost:
-    """Answer as a2 with an incarnation, or not at all where that is None."""
+class FakeHostStatusReader:
+    """Return the status of a2 with an incarnation; a2 is unreachable if that is None."""
 
     def __init__(self, incarnation):
         self.incarnation = incarnation
