--- a/packages/agateferry-service/agateferry_service/daemon/__init__.py
+++ b/packages/agateferry-service/agateferry_service/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: settings in, parts built, started and stopped in order."""
+"""The agateferryd program, which builds, starts and stops the components of one entry host."""
--- a/packages/agateferry-service/agateferry_service/daemon/host.py
+++ b/packages/agateferry-service/agateferry_service/daemon/host.py
@@ -1,4 +1,4 @@
-"""The parts of one daemon, in the order in which they start and stop."""
+"""The components of one daemon, and the order in which they start and stop."""
 
 import asyncio
 import random
@@ -43,15 +43,15 @@
 from agateferry_state.replica import metrics as replica_metrics
 from agateferry_state.replica.link import server_options
 
-READY_POLL_S = 0.05
-STATE_WATCH_S = 1.0
-PEERS_GRACE_S = 1.0
-CLOSE_MS = 1_000
-FETCH_PATIENCE_MS = 2_000
+READY_POLL_INTERVAL_S = 0.05
+REPLICA_CHECK_INTERVAL_S = 1.0
+PEERS_STOP_GRACE_S = 1.0
+HTTP_STOP_TIMEOUT_MS = 1_000
+CALL_TIMEOUT_MS = 2_000
 
 
 class Host:
-    """One entry host: its share in the cell and the records plane, and its ports."""
+    """One entry host: its replicas of its zone's cell and of the records plane, and its ports."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -61,11 +61,11 @@
         self.log = EventLogger(host=settings.host.name, zone=settings.host.zone)
         self._ready = False
         self._stopping = False
-        self._state_failed = False
+        self._replica_failed = False
         self.peers_server: grpc.aio.Server | None = None
 
     async def start(self) -> None:
-        """Start every part; raise OSError when a port or the data folder cannot be had."""
+        """Start all components; raise OSError if a port or the data folder cannot be used."""
         self.log.info(events.STARTING)
         self._build_state()
         self._build_routing()
@@ -74,18 +74,22 @@
         await self.cell.start()
         if self.plane is not None:
             await self.plane.replica.start()
-        failed = self._failed_state()
-        if failed:
-            raise OSError(failed)
+        failures = self._replica_failures()
+        if failures:
+            raise OSError(failures)
         for server in self.http_servers:
             await server.start()
-        self._background = [
-            asyncio.create_task(self._become_ready()),
-            asyncio.create_task(self._watch_state()),
+        self._background_tasks = [
+            asyncio.create_task(self._wait_until_ready()),
+            asyncio.create_task(self._monitor_replicas()),
         ]
 
     async def stop(self) -> None:
-        """Stop gracefully: turn callers away, finish what is held, hand leadership on."""
+        """Stop gracefully: drain the callers' port, then hand leadership on and close the rest.
+
+        The host first reports not ready for `timeouts.drain_notice_ms`, so that the load balancer
+        sends callers elsewhere.
+        """
         if self._stopping:
             return
         self._stopping = True
@@ -98,29 +102,33 @@
         await self._close()
         self.log.info(events.STOPPED)
 
-    def _failed_state(self) -> str:
-        """Return why a replica of this host takes no part, or an empty text."""
+    def _replica_failures(self) -> str:
+        """Return why replicas of this host failed, or an empty string while all work."""
         replicas = [self.cell.ctx.replica, self.plane.replica if self.plane else None]
         failures = [replica.failure for replica in replicas if replica is not None]
         return "; ".join(failure.detail for failure in failures if failure is not None)
 
-    async def _watch_state(self) -> None:
-        """Leave the balancer's round when a disk fails; calls go on to the other hosts."""
-        while not self._state_failed:
-            await asyncio.sleep(STATE_WATCH_S)
-            self._state_failed = bool(self._failed_state())
-        self.log.error(events.STATE_FAILED, detail=self._failed_state())
+    async def _monitor_replicas(self) -> None:
+        """Make the host not ready when one of its replicas fails, for example because of its disk.
+
+        The load balancer then sends callers to other hosts. This host still routes the calls that
+        it gets to the other hosts of the zone.
+        """
+        while not self._replica_failed:
+            await asyncio.sleep(REPLICA_CHECK_INTERVAL_S)
+            self._replica_failed = bool(self._replica_failures())
+        self.log.error(events.REPLICA_FAILED, detail=self._replica_failures())
 
     async def abort(self) -> None:
-        """Give up after a failed start, so that the process can end."""
+        """Close what a failed start has opened, so that the process can end."""
         await self.workers.close()
         if self.peers_server is not None:
             await self.peers_server.stop(grace=None)
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
-        return self._ready and not self._stopping and not self._state_failed
+        """Tell whether the load balancer should send callers to this host."""
+        return self._ready and not self._stopping and not self._replica_failed
 
     def _build_state(self) -> None:
         settings = self.settings
@@ -230,31 +238,31 @@
     async def _fetch_records(self, req: cell_pb2.RecordsRequest) -> cell_pb2.RecordsReply:
         since: RpcMethod = self.records_calls.since
         reply: cell_pb2.RecordsReply = await self.zones.records.call(
-            since, req, FETCH_PATIENCE_MS, req.wait_ms
+            since, req, CALL_TIMEOUT_MS, req.wait_ms
         )
         return reply
 
-    async def _become_ready(self) -> None:
-        """Become ready once the zone has a leader that answers."""
+    async def _wait_until_ready(self) -> None:
+        """Make the host ready once the leader of its zone replies."""
         query = cell_pb2.QueryRequest(what="teams")
         router = self.zones.router(self.settings.host.zone)
         while not self._ready:
-            reply = await router.call(self.cell_calls.query, query, FETCH_PATIENCE_MS)
+            reply = await router.call(self.cell_calls.query, query, CALL_TIMEOUT_MS)
             self._ready = not reply.HasField("refusal")
-            await asyncio.sleep(READY_POLL_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
         self.log.info(events.READY)
 
     async def _close(self) -> None:
-        for task in self._background:
+        for task in self._background_tasks:
             task.cancel()
         await self.cell.stop()
         if self.plane is not None:
             await self.plane.replica.stop()
         for server in self.http_servers:
             if server.name != "callers":
-                await server.stop(CLOSE_MS)
+                await server.stop(HTTP_STOP_TIMEOUT_MS)
         if self.peers_server is not None:
-            await self.peers_server.stop(grace=PEERS_GRACE_S)
+            await self.peers_server.stop(grace=PEERS_STOP_GRACE_S)
         await self.replicas.close()
         await self.channels.close()
         await self.workers.close()
--- a/packages/agateferry-service/agateferry_service/daemon/main.py
+++ b/packages/agateferry-service/agateferry_service/daemon/main.py
@@ -36,12 +36,12 @@
 
 
 async def serve(settings: Settings) -> int:
-    """Run one entry host until a signal asks for a stop; return the exit status."""
+    """Run one entry host until SIGTERM or SIGINT; return the exit status."""
     configure(settings.log.level, settings.log.as_json)
     log = EventLogger(host=settings.host.name)
     for warning in settings.warnings:
         log.warning(events.OLD_SETTING, detail=warning)
-    stop = _stop_event(log)
+    stop = _install_handlers(log)
     host = Host(settings)
     try:
         await host.start()
@@ -55,16 +55,17 @@
     return EXIT_OK
 
 
-def _stop_event(log: EventLogger) -> asyncio.Event:
+def _install_handlers(log: EventLogger) -> asyncio.Event:
+    """Install the handlers of signals and failed tasks; return the event that a signal sets."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
 
-    def on_failure(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def on_task_failure(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         log.error(events.TASK_FAILED, detail=repr(context.get("exception") or context["message"]))
 
-    loop.set_exception_handler(on_failure)
+    loop.set_exception_handler(on_task_failure)
     return stop
 
 
--- a/packages/agateferry-service/agateferry_service/daemon/replicas.py
+++ b/packages/agateferry-service/agateferry_service/daemon/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas that one host holds: its zone's cell and perhaps the records plane."""
+"""The replicas of one host: of its zone's cell and, on a records voter, of the records plane."""
 
 import random
 from collections.abc import Sequence
@@ -13,12 +13,12 @@
 from agateferry_state.replication import Settings as ReplicationCoreSettings
 
 RECORDS_GROUP = "records"
-ELECTION_SPREAD = 2
+MAX_ELECTION_TIMEOUT_FACTOR = 2
 LEASE_MARGIN_PERCENT = 10
 
 
 class Replicas:
-    """Make a host's replicas and carry what they say to their peers."""
+    """Create a host's replicas, which share one transport to their peers."""
 
     def __init__(self, settings: Settings, clock: Clock, rng: random.Random) -> None:
         self._settings = settings
@@ -36,7 +36,7 @@
         return self._node(RECORDS_GROUP, self._settings.records_voters(), machine)
 
     def add_to(self, server: grpc.aio.Server) -> None:
-        """Serve the replicas' peers on the host's peers' port, by TCP and UDP."""
+        """Receive messages for the replicas on the address `listen.peers`, over TCP and UDP."""
         self._transport.add_to(server)
         self._transport.open_datagrams(str(self._settings.listen.peers))
 
@@ -59,13 +59,17 @@
 
 
 def core_settings(settings: Settings) -> ReplicationCoreSettings:
-    """Return the pace of the replicated logs; a lease ends well before an election can begin."""
-    pace = settings.replication
-    election_ms = pace.election_timeout_ms
+    """Return the timings of the replicated logs.
+
+    The leader's lease is LEASE_MARGIN_PERCENT shorter than the shortest election timeout, so that
+    it expires before another host can be elected.
+    """
+    replication = settings.replication
+    election_ms = replication.election_timeout_ms
     return ReplicationCoreSettings(
-        heartbeat_ms=pace.heartbeat_ms,
+        heartbeat_ms=replication.heartbeat_ms,
         election_timeout_min_ms=election_ms,
-        election_timeout_max_ms=election_ms * ELECTION_SPREAD,
+        election_timeout_max_ms=election_ms * MAX_ELECTION_TIMEOUT_FACTOR,
         lease_ms=election_ms * (100 - LEASE_MARGIN_PERCENT) // 100,
-        snapshot_every_entries=pace.snapshot_entries,
+        snapshot_every_entries=replication.snapshot_entries,
     )
--- a/packages/agateferry-service/agateferry_service/daemon/tests/support.py
+++ b/packages/agateferry-service/agateferry_service/daemon/tests/support.py
@@ -1,4 +1,4 @@
-"""One daemon in the test's own loop, on free loopback ports."""
+"""Run one daemon in the event loop of a test, on free loopback ports."""
 
 import contextlib
 import tempfile
--- a/packages/agateferry-service/agateferry_service/daemon/trace.py
+++ b/packages/agateferry-service/agateferry_service/daemon/trace.py
@@ -1,4 +1,4 @@
-"""The recording of scheduler events for later replay."""
+"""The trace file of scheduler events, for later replay."""
 
 from pathlib import Path
 
@@ -7,18 +7,18 @@
 
 
 class TraceFile:
-    """Append the events that this host's scheduler takes to a file, where one is set.
+    """Append the input events of this host's scheduler to a file, if the settings name one.
 
-    A host records while it leads its zone. The lines can be replayed with `agateferry replay`.
+    Events are recorded while the host leads its zone. `agateferry replay` replays the file.
     """
 
     def __init__(self, path: Path | None) -> None:
-        """Open the file; raises OSError where that fails."""
+        """Open the file; raise OSError if that fails."""
         self._file = path.open("a", encoding="utf-8", buffering=1) if path else None
         self._recorder = Recorder(self._write)
 
     def record(self, event: SchedulerEvent, now_ms: int) -> None:
-        """Record one event, if there is a file."""
+        """Record one event, if a trace file is set."""
         if self._file is not None:
             self._recorder.record(event, now_ms)
 
