--- a/packages/agateferry-service/agateferry_service/daemon/events.py
+++ b/packages/agateferry-service/agateferry_service/daemon/events.py
@@ -23,7 +23,7 @@
 )
 REPLICA_FAILED = Event(
     4009,
-    "replica of this host failed; the host accepts no callers",
+    "replica of this host failed; the host is not ready",
     "Fix the disk, then restart this host; for a lost disk, see docs/operators.md.",
 )
 TASK_FAILED = Event(
