--- a/packages/agateferry-service/agateferry_service/entry/__init__.py
+++ b/packages/agateferry-service/agateferry_service/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' port: requests in, whole answers out."""
+"""The callers' HTTP port, where requests are submitted, followed and cancelled."""
--- a/packages/agateferry-service/agateferry_service/entry/app.py
+++ b/packages/agateferry-service/agateferry_service/entry/app.py
@@ -24,15 +24,15 @@
 from agateferry_service.settings import LimitSettings
 
 MAX_KEY_CHARS = 200
-PATIENCE_MS = 5_000
-LOOK_SLICE_MS = 5_000
-DISCONNECT_POLL_S = 0.25
+CALL_TIMEOUT_MS = 5_000
+MAX_CALL_WAIT_MS = 5_000
+DISCONNECT_POLL_INTERVAL_S = 0.25
 
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 class CallersApp:
-    """Take requests from callers, pass them to the zone that owns them, and answer."""
+    """Serve callers by calls to the cell of the zone that owns each request."""
 
     def __init__(
         self,
@@ -57,13 +57,13 @@
         return Starlette(
             routes=[
                 Route("/v1/requests", self._timed(self.submit), methods=["POST"]),
-                Route("/v1/requests/{id}", self._timed(self.look), methods=["GET"]),
+                Route("/v1/requests/{id}", self._timed(self.get_request), methods=["GET"]),
                 Route("/v1/requests/{id}", self._timed(self.cancel), methods=["DELETE"]),
             ]
         )
 
     async def submit(self, req: Request) -> Response:
-        """Accept a request, and hold the connection for its end if that is asked for."""
+        """Submit a request, and wait for its end for as long as `Prefer: wait` says."""
         limits = self._limits
         parsed = await read_model(
             req, SubmitBody, limits.max_body_bytes, limits.request_body_timeout_ms
@@ -75,40 +75,40 @@
         if len(key) > MAX_KEY_CHARS:
             detail = f"Idempotency-Key has at most {MAX_KEY_CHARS} characters"
             return problem(422, "invalid", detail)
-        home = self._home(body, key)
-        if home not in self._zones.names:
+        zone = self._owning_zone(body, key)
+        if zone not in self._zones.names:
             known = ", ".join(self._zones.names)
-            return problem(404, "unknown-zone", f"no zone is named {home}; there are {known}")
-        return await self._submit_to(home, req, body, key, data)
+            return problem(404, "unknown-zone", f"no zone is named {zone}; there are {known}")
+        return await self._submit_to(zone, req, body, key, data)
 
-    async def look(self, req: Request) -> Response:
-        """Return a request from whichever zone issued its id."""
+    async def get_request(self, req: Request) -> Response:
+        """Return a request from the zone that issued its id, whichever that is."""
         request_id = req.path_params["id"]
-        reply = await self._look(request_id, wait_ms(req, self._limits.max_wait_ms))
-        return self._response(reply, fresh=False)
+        reply = await self._poll_until_ended(request_id, wait_ms(req, self._limits.max_wait_ms))
+        return self._response(reply, is_new=False)
 
     async def cancel(self, req: Request) -> Response:
-        """Cancel a request and return it with the stage that it had reached."""
+        """Cancel a request and return it with the last stage that it reached."""
         request_id = req.path_params["id"]
-        home = zone_of_id(request_id)
-        if home not in self._zones.names:
+        zone = zone_of_id(request_id)
+        if zone not in self._zones.names:
             return _unknown_request(request_id)
         message = pb.CancelRequest(request_id=request_id)
-        reply = await self._zones.router(home).call(
-            self._calls.cancel, message, PATIENCE_MS, PATIENCE_MS
+        reply = await self._zones.router(zone).call(
+            self._calls.cancel, message, CALL_TIMEOUT_MS, CALL_TIMEOUT_MS
         )
-        return self._response(reply, fresh=False)
+        return self._response(reply, is_new=False)
 
-    def _home(self, body: SubmitBody, key: str) -> str:
+    def _owning_zone(self, body: SubmitBody, key: str) -> str:
         job = self._catalog.job(body.job)
         idempotent = job.idempotent if job is not None else True
         return home_zone(body.zone, body.team, key, idempotent, self._zone, self._zones.names)
 
     async def _submit_to(
-        self, home: str, req: Request, body: SubmitBody, key: str, data: bytes
+        self, zone: str, req: Request, body: SubmitBody, key: str, data: bytes
     ) -> Response:
         message = pb.SubmitRequest(
-            id=new_id(home),
+            id=new_id(zone),
             team=body.team,
             job=body.job,
             key=key,
@@ -120,65 +120,77 @@
         )
         if body.demand is not None:
             message.demand.CopyFrom(demand_to_pb(body.demand.to_demand()))
-        held_ms = wait_ms(req, self._limits.max_wait_ms)
-        message.wait_ms = min(held_ms, LOOK_SLICE_MS)
-        until = time.monotonic() + held_ms / 1000
-        reply = await self._call_submit(home, message, req)
-        remaining_ms = int((until - time.monotonic()) * 1000)
-        waits = reply.HasField("view") and not has_ended(reply.view) and remaining_ms > 0
-        if waits and not self._is_stopping():
-            reply = await self._look(reply.view.id, remaining_ms)
-        return self._response(reply, fresh=True)
+        total_wait_ms = wait_ms(req, self._limits.max_wait_ms)
+        message.wait_ms = min(total_wait_ms, MAX_CALL_WAIT_MS)
+        deadline_s = time.monotonic() + total_wait_ms / 1000
+        reply = await self._call_submit(zone, message, req)
+        remaining_ms = int((deadline_s - time.monotonic()) * 1000)
+        may_wait = reply.HasField("view") and not has_ended(reply.view) and remaining_ms > 0
+        if may_wait and not self._is_stopping():
+            reply = await self._poll_until_ended(reply.view.id, remaining_ms)
+        return self._response(reply, is_new=True)
 
     async def _call_submit(
-        self, home: str, message: pb.SubmitRequest, req: Request
+        self, zone: str, message: pb.SubmitRequest, req: Request
     ) -> pb.RequestReply:
-        """Submit, and cancel when the caller hangs up and has asked for that."""
-        work = asyncio.ensure_future(
-            self._zones.router(home).call(self._calls.submit, message, PATIENCE_MS, message.wait_ms)
+        """Submit a request to its zone.
+
+        If the caller set `Agateferry-Cancel-On-Disconnect: true` and disconnects before the reply,
+        the request is cancelled.
+        """
+        submission = asyncio.ensure_future(
+            self._zones.router(zone).call(
+                self._calls.submit, message, CALL_TIMEOUT_MS, message.wait_ms
+            )
         )
-        wish = req.headers.get("agateferry-cancel-on-disconnect", "").lower() == "true"
-        while wish and not work.done():
-            await asyncio.wait({work}, timeout=DISCONNECT_POLL_S)
-            if not work.done() and await req.is_disconnected():
-                await self._cancel_abandoned(home, message.id)
+        cancel_on_disconnect = (
+            req.headers.get("agateferry-cancel-on-disconnect", "").lower() == "true"
+        )
+        while cancel_on_disconnect and not submission.done():
+            await asyncio.wait({submission}, timeout=DISCONNECT_POLL_INTERVAL_S)
+            if not submission.done() and await req.is_disconnected():
+                await self._cancel_abandoned(zone, message.id)
                 break
-        reply: pb.RequestReply = await work
+        reply: pb.RequestReply = await submission
         return reply
 
-    async def _cancel_abandoned(self, home: str, request_id: str) -> None:
+    async def _cancel_abandoned(self, zone: str, request_id: str) -> None:
         self._metrics.caller_hung_up(True)
         message = pb.CancelRequest(request_id=request_id)
-        await self._zones.router(home).call(self._calls.cancel, message, PATIENCE_MS, PATIENCE_MS)
+        await self._zones.router(zone).call(
+            self._calls.cancel, message, CALL_TIMEOUT_MS, CALL_TIMEOUT_MS
+        )
 
-    async def _look(self, request_id: str, held_ms: int) -> pb.RequestReply:
-        """Ask the owning zone again and again until the request ends or the wait is over.
+    async def _poll_until_ended(self, request_id: str, total_wait_ms: int) -> pb.RequestReply:
+        """Poll the zone that owns a request until it ends or `total_wait_ms` have passed.
 
-        A planned stop ends the wait too: the caller gets the request as it stands and asks another
-        host, in place of a connection that is cut.
+        A graceful stop of this host ends the wait too: the caller gets the request's current state
+        and can poll another host, whereas a closed connection would leave it without a reply.
         """
-        home = zone_of_id(request_id)
-        if home not in self._zones.names:
+        zone = zone_of_id(request_id)
+        if zone not in self._zones.names:
             refusal = pb.Refusal(reason="unknown-request", detail=f"no request {request_id}")
             return pb.RequestReply(refusal=refusal)
-        until = time.monotonic() + held_ms / 1000
+        deadline_s = time.monotonic() + total_wait_ms / 1000
         while True:
-            slice_ms = max(0, min(LOOK_SLICE_MS, int((until - time.monotonic()) * 1000)))
-            message = pb.LookRequest(request_id=request_id, wait_ms=slice_ms)
-            reply: pb.RequestReply = await self._zones.router(home).call(
-                self._calls.get_request, message, PATIENCE_MS, slice_ms
+            call_wait_ms = max(
+                0, min(MAX_CALL_WAIT_MS, int((deadline_s - time.monotonic()) * 1000))
+            )
+            message = pb.LookRequest(request_id=request_id, wait_ms=call_wait_ms)
+            reply: pb.RequestReply = await self._zones.router(zone).call(
+                self._calls.get_request, message, CALL_TIMEOUT_MS, call_wait_ms
             )
             ended = reply.HasField("view") and has_ended(reply.view)
-            over = time.monotonic() >= until or self._is_stopping()
-            if ended or over or reply.refusal.reason == "unknown-request":
+            wait_is_over = time.monotonic() >= deadline_s or self._is_stopping()
+            if ended or wait_is_over or reply.refusal.reason == "unknown-request":
                 return reply
 
-    def _response(self, reply: pb.RequestReply, fresh: bool) -> Response:
+    def _response(self, reply: pb.RequestReply, is_new: bool) -> Response:
         if reply.HasField("refusal"):
             self._metrics.refused(reply.refusal.reason)
             return refusal_response(reply.refusal)
         ended = has_ended(reply.view)
-        status = 202 if fresh and not ended else 200
+        status = 202 if is_new and not ended else 200
         headers = {"Location": f"/v1/requests/{reply.view.id}"} if status == 202 else {}
         return JSONResponse(request_json(reply.view), status_code=status, headers=headers)
 
@@ -188,9 +200,9 @@
 
     def _timed(self, handler: Handler) -> Handler:
         async def timed(req: Request) -> Response:
-            began = time.monotonic()
+            started_s = time.monotonic()
             resp: Response = await handler(req)
-            took_ms = (time.monotonic() - began) * 1000
+            took_ms = (time.monotonic() - started_s) * 1000
             self._metrics.answered_http("callers", resp.status_code, took_ms)
             return resp
 
@@ -198,4 +210,4 @@
 
 
 def _unknown_request(request_id: str) -> Response:
-    return problem(404, "unknown-request", f"no zone here issued an id like {request_id}")
+    return problem(404, "unknown-request", f"the id {request_id} names no zone of this system")
--- a/packages/agateferry-service/agateferry_service/entry/home_zone.py
+++ b/packages/agateferry-service/agateferry_service/entry/home_zone.py
@@ -1,4 +1,4 @@
-"""Which availability zone's cell owns a request."""
+"""The home zone of a request: the availability zone whose cell owns it."""
 
 import hashlib
 import uuid
@@ -13,7 +13,7 @@
 
 
 def new_id(zone: str) -> str:
-    """Issue a request id that names its zone."""
+    """Return a new request id that starts with its home zone, such as `vestland-1.4f1c`."""
     return f"{zone}{ID_SEPARATOR}{uuid.uuid4().hex}"
 
 
@@ -22,9 +22,10 @@
 ) -> str:
     """Return the zone whose cell owns a new request.
 
-    A zone that the caller names wins. Work that is idempotent stays where it came in. Work that is
-    not goes to the zone that its key hashes to, by rendezvous hashing (Thaler and Ravishankar,
-    1998), so that a resend to any zone ends at the same ledger.
+    The zone that the caller names (`named`) has priority. Without one, a request that is idempotent
+    or has no key stays in the zone that received it (`local`). A request with a key that is not
+    idempotent goes to the zone to which its team and key hash, by rendezvous hashing (Thaler and
+    Ravishankar, 1998), so that a resend through any zone reaches the same ledger.
     """
     if named is not None:
         return named
--- a/packages/agateferry-service/agateferry_service/entry/models.py
+++ b/packages/agateferry-service/agateferry_service/entry/models.py
@@ -1,4 +1,4 @@
-"""The bodies that callers send."""
+"""The JSON bodies of callers' requests."""
 
 from typing import Annotated, Literal
 
@@ -17,7 +17,7 @@
 
 
 class DemandBody(BaseModel):
-    """What a request asks for, each number for one member."""
+    """The resources that a request demands; all but `members` are per member."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
@@ -28,7 +28,7 @@
     adjacency: Literal["any", "rack", "worker"] = "any"
 
     def to_demand(self) -> Demand:
-        """Return the demand in the form used inside."""
+        """Return the demand as the scheduler's type."""
         return Demand(
             self.members,
             self.accelerators,
@@ -39,7 +39,7 @@
 
 
 class SubmitBody(BaseModel):
-    """A request as a caller states it; what is left out comes from the job record."""
+    """A request as a caller submits it; missing fields come from the job record."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
--- a/packages/agateferry-service/agateferry_service/entry/views.py
+++ b/packages/agateferry-service/agateferry_service/entry/views.py
@@ -1,4 +1,4 @@
-"""A request as callers see it."""
+"""The JSON document of a request on the callers' port."""
 
 import hashlib
 import json
@@ -6,16 +6,16 @@
 
 from agateferry_service.rpc import commands_pb2 as pb
 
-ENDED = frozenset({"finished", "cancelled", "failed"})
+TERMINAL_STATES = frozenset({"finished", "cancelled", "failed"})
 
 
 def has_ended(view: pb.RequestView) -> bool:
-    """Tell whether a request has its final answer."""
-    return view.state in ENDED
+    """Tell whether a request is in a terminal state."""
+    return view.state in TERMINAL_STATES
 
 
 def request_json(view: pb.RequestView) -> dict[str, Any]:
-    """Return the JSON document of a request; a gang's answer is an array of its members'."""
+    """Return the JSON document of a request; a gang's answer is an array, one item per member."""
     answer = None
     if view.state == "finished":
         answer = view.answers[0] if view.members == 1 else json.dumps(list(view.answers))
