--- a/packages/agateferry-service/agateferry_service/endpoints/__init__.py
+++ b/packages/agateferry-service/agateferry_service/endpoints/__init__.py
@@ -1,4 +1,4 @@
-"""The workers of a zone: who they are and when they were last heard of."""
+"""The workers of a zone: their registry and the HTTP port for their heartbeats."""
 
 from agateferry_service.endpoints.registry import RegisteredWorker, WorkerRegistry, WorkerState
 
--- a/packages/agateferry-service/agateferry_service/endpoints/app.py
+++ b/packages/agateferry-service/agateferry_service/endpoints/app.py
@@ -1,4 +1,4 @@
-"""The endpoints' HTTP application, where workers announce themselves."""
+"""The HTTP application of the endpoints' port, where workers send heartbeats."""
 
 from typing import Annotated, Literal
 
@@ -17,7 +17,7 @@
 from agateferry_service.rpc import cell_pb2, commands_pb2
 from agateferry_service.settings import LimitSettings
 
-PATIENCE_MS = 1_500
+CALL_TIMEOUT_MS = 1_500
 MAX_LEASES = 10_000
 MAX_NAME_CHARS = 63
 
@@ -26,7 +26,7 @@
 
 
 class UsageBody(BaseModel):
-    """What a worker used a while ago."""
+    """The slots and accelerators in use on a worker `age_ms` milliseconds ago."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -36,7 +36,7 @@
 
 
 class LeaseBody(BaseModel):
-    """One lease that a worker holds, or whose result it keeps."""
+    """A lease of a worker whose run is reserved, running or ended with the result still kept."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -47,7 +47,7 @@
 
 
 class AnnounceBody(BaseModel):
-    """An announcement of a worker."""
+    """The body of a heartbeat, in which a worker announces itself."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -67,7 +67,7 @@
 
 
 class EndpointsApp:
-    """Take announcements and pass them to the leader of the zone."""
+    """Receive workers' heartbeats and forward them to the leader of the zone."""
 
     def __init__(
         self, zone: str, router: Router, calls: CellCalls, limits: LimitSettings, metrics: Metrics
@@ -84,7 +84,7 @@
         return Starlette(routes=[route])
 
     async def announce(self, req: Request) -> Response:
-        """Take one announcement in."""
+        """Forward a heartbeat, and return the next interval and the leases to stop or release."""
         limits = self._limits
         parsed = await read_model(
             req, AnnounceBody, limits.max_body_bytes, limits.request_body_timeout_ms
@@ -98,7 +98,7 @@
             detail = f"this host serves zone {self._zone}, not {body.zone}"
             return problem(421, "wrong-zone", detail, run=None)
         message = announce_message(req.path_params["name"], body)
-        reply = await self._router.call(self._calls.announce, message, PATIENCE_MS)
+        reply = await self._router.call(self._calls.announce, message, CALL_TIMEOUT_MS)
         if reply.HasField("refusal"):
             self._metrics.announced(reply.refusal.reason)
             return refusal_response(reply.refusal)
@@ -113,7 +113,7 @@
 
 
 def announce_message(name: str, body: AnnounceBody) -> cell_pb2.AnnounceRequest:
-    """Return an announcement as a call to the zone's leader."""
+    """Return a heartbeat as the message to the zone's leader."""
     worker = commands_pb2.WorkerChanged(
         name=name,
         rack=body.rack,
--- a/packages/agateferry-service/agateferry_service/endpoints/registry.py
+++ b/packages/agateferry-service/agateferry_service/endpoints/registry.py
@@ -1,8 +1,8 @@
-"""The replicated list of a zone's workers.
+"""The replicated registry of a zone's workers.
 
-Only changes are commands of the cell's log: a worker that joins, starts anew, leaves or is lost.
-Heartbeats are not; the leader keeps their times for itself. So every host, also one that comes to
-lead a moment after a worker said that it leaves, knows which workers may be given work.
+Only changes are commands of the cell's log: a worker joins, restarts, leaves or is lost. Heartbeats
+are not stored; the leader keeps their times in memory. Because the changes are in the log, a host
+that becomes leader right after a worker announced that it leaves gives that worker no new work.
 """
 
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 
 class WorkerState(StrEnum):
-    """Say whether a worker may be given work."""
+    """The state of a worker; only a serving one gets new work."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -23,29 +23,29 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisteredWorker:
-    """A worker as it last announced itself, and whether it may be given work."""
+    """A worker as it last announced itself, with its state."""
 
     worker: Worker
     state: WorkerState
 
 
 class WorkerRegistry:
-    """Hold the zone's workers by name."""
+    """Hold the workers of a zone by name."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
         self._workers: dict[str, RegisteredWorker] = {}
 
     def __iter__(self) -> Iterator[RegisteredWorker]:
-        """Yield every worker, lost ones too."""
+        """Yield every worker, including lost ones."""
         return iter(self._workers.values())
 
     def get(self, name: str) -> RegisteredWorker | None:
-        """Return a worker by name."""
+        """Return the worker of a name, or None if it never joined."""
         return self._workers.get(name)
 
     def change(self, command: pb.WorkerChanged) -> RegisteredWorker:
-        """Apply one change and return the worker as it stands."""
+        """Apply a committed change and return the changed worker."""
         registered = RegisteredWorker(
             worker_from_pb(command, self._zone), WorkerState(command.state)
         )
@@ -53,18 +53,21 @@
         return registered
 
     def store(self) -> list[pb.WorkerChanged]:
-        """Write all workers."""
-        return [worker_to_pb(item.worker, item.state) for item in self._workers.values()]
+        """Return all workers in their stored form, for a snapshot."""
+        return [
+            worker_to_pb(registered.worker, registered.state)
+            for registered in self._workers.values()
+        ]
 
     def load(self, stored: list[pb.WorkerChanged]) -> None:
-        """Replace all workers by stored ones."""
+        """Replace all workers with those of a snapshot."""
         self._workers.clear()
         for message in stored:
             self.change(message)
 
 
 def worker_to_pb(worker: Worker, state: WorkerState) -> pb.WorkerChanged:
-    """Write a worker as a command."""
+    """Encode a worker and its state as a command."""
     return pb.WorkerChanged(
         name=worker.name,
         rack=worker.rack,
@@ -79,7 +82,7 @@
 
 
 def worker_from_pb(message: pb.WorkerChanged, zone: str) -> Worker:
-    """Read a worker from a command."""
+    """Decode the worker of a command."""
     return Worker(
         name=message.name,
         zone=zone,
