--- a/packages/agateferry-service/agateferry_service/records/__init__.py
+++ b/packages/agateferry-service/agateferry_service/records/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' records: the plane that agrees on them and the zones that follow it."""
+"""Operators' records: the replicated log that holds them, and each zone's copy of it."""
--- a/packages/agateferry-service/agateferry_service/records/plane.py
+++ b/packages/agateferry-service/agateferry_service/records/plane.py
@@ -1,4 +1,4 @@
-"""One host's share in the records plane, the log that operators' records are agreed upon in."""
+"""One host's part of the records plane, the replicated log of operators' records."""
 
 import asyncio
 import contextlib
@@ -30,38 +30,38 @@
 
 
 class NotifyingRecordsMachine(RecordsMachine):
-    """Tell those who wait when a newer revision has been agreed upon."""
+    """The state machine of the records plane, which wakes waiting calls when it changes."""
 
     def __init__(self) -> None:
         super().__init__()
         self._changed = asyncio.Event()
 
     def apply(self, index: int, command: bytes) -> PutOutcome:
-        """Apply one put and wake those who wait."""
+        """Apply a committed put and wake waiting calls."""
         outcome = super().apply(index, command)
-        self._wake()
+        self._wake_waiters()
         return outcome
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole store by a snapshot and wake those who wait."""
+        """Replace the whole store with a snapshot and wake waiting calls."""
         super().restore(data)
-        self._wake()
+        self._wake_waiters()
 
     async def wait_until_newer(self, revision: int, wait_ms: int) -> None:
-        """Return when a revision after the given one stands, or after `wait_ms`."""
+        """Wait until the store has a revision after `revision`, for at most `wait_ms`."""
         if self.store.revision > revision or wait_ms <= 0:
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1000):
                 await self._changed.wait()
 
-    def _wake(self) -> None:
+    def _wake_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
 
 class RecordsPlane:
-    """Answer puts and reads while this host leads, and pass revisions on to the zones."""
+    """Serve puts and reads while this host leads, and revisions to the zones at any time."""
 
     def __init__(
         self, host: str, machine: NotifyingRecordsMachine, replica: Replica, metrics: Metrics
@@ -73,11 +73,11 @@
 
     @property
     def replica(self) -> Replica:
-        """Return this host's replica of the plane."""
+        """Return this host's replica of the records plane."""
         return self._replica
 
     async def put(self, req: pb.PutRecordRequest) -> pb.QueryReply:
-        """Store a new version of a record; the answer comes only after it was agreed upon."""
+        """Store a new version of a record, and reply after it is committed."""
         if not self._replica.is_leader:
             return pb.QueryReply(refusal=self._not_leader())
         body = {
@@ -94,13 +94,13 @@
         return self._put_reply(result.ok.outcome, Schema(req.schema))
 
     async def read(self, req: pb.QueryRequest) -> pb.QueryReply:
-        """Read records as they stand now; `name` is kind/name/what/schema."""
+        """Answer a query of records as of the newest commit; for `req`, see `read_records`."""
         if not self._replica.is_leader or (await self._replica.read_barrier()).is_error():
             return pb.QueryReply(refusal=self._not_leader())
         return read_records(self._machine.store, req)
 
     async def since(self, req: pb.RecordsRequest) -> pb.RecordsReply:
-        """Return revisions after one, as soon as there are any or after the wait asked for."""
+        """Return the revisions after `after_revision`; wait up to `wait_ms` until there is one."""
         await self._machine.wait_until_newer(req.after_revision, req.wait_ms)
         store = self._machine.store
         revisions = store.since(req.after_revision)
@@ -112,12 +112,12 @@
                 return pb.QueryReply(body=json.dumps(revision_json(revision, schema)))
             case Conflict(current=current):
                 self._metrics.refused(RefusalReason.VERSION_CONFLICT)
-                refused = refusal(RefusalReason.VERSION_CONFLICT, "another version stands")
+                refused = refusal(RefusalReason.VERSION_CONFLICT, "the record has another version")
                 refused.current = json.dumps(revision_json(current, schema) if current else None)
                 return pb.QueryReply(refusal=refused)
             case Invalid():
                 return self._refuse(RefusalReason.INVALID, str(outcome))
-        raise TypeError(f"the records gave an unknown outcome: {outcome!r}")
+        raise TypeError(f"unknown outcome of a put of a record: {outcome!r}")
 
     def _refuse(self, reason: RefusalReason, detail: str) -> pb.QueryReply:
         self._metrics.refused(reason)
@@ -129,7 +129,7 @@
 
 
 def revision_json(revision: Revision, schema: Schema) -> dict[str, Any]:
-    """Return a record in the form of a schema, as operators read it."""
+    """Return the JSON document of a record's revision, with its content in the given schema."""
     return {
         "kind": revision.kind.value,
         "name": revision.name,
@@ -141,7 +141,11 @@
 
 
 def read_records(store: RecordStore, req: pb.QueryRequest) -> pb.QueryReply:
-    """Answer a read: one record, all of a kind, the history of one, or the newest revision."""
+    """Answer a query of `store`, which is the records plane's or a zone's copy.
+
+    `req.what` is `newest` for the newest revision's number. Otherwise it is `get`, `list` or
+    `history`, and `req.name` is `kind/name/schema`, with an empty name for `list`.
+    """
     if req.what == NEWEST_REVISION:
         return pb.QueryReply(body=json.dumps({"revision": store.revision}))
     kind_text, name, schema_text = req.name.split("/")
--- a/packages/agateferry-service/agateferry_service/records/servicer.py
+++ b/packages/agateferry-service/agateferry_service/records/servicer.py
@@ -1,4 +1,4 @@
-"""The gRPC face of the records plane."""
+"""The gRPC service of the records plane."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class RecordsServicer(cell_pb2_grpc.RecordsServicer):
-    """Pass calls from other entry hosts to this host's share of the plane."""
+    """Serve calls from other entry hosts from this host's part of the records plane."""
 
     def __init__(self, plane: RecordsPlane) -> None:
         self._plane = plane
@@ -22,5 +22,5 @@
         return await self._plane.read(request)
 
     async def Since(self, request: pb.RecordsRequest, context: Any) -> pb.RecordsReply:
-        """Return newer revisions."""
+        """Return the revisions after a given one."""
         return await self._plane.since(request)
