--- a/packages/agateferry-service/agateferry_service/http/__init__.py
+++ b/packages/agateferry-service/agateferry_service/http/__init__.py
@@ -1,1 +1,1 @@
-"""What the HTTP ports share: problem details, bodies, waits and serving."""
+"""Code that all HTTP ports share: problem details, request bodies, waits and the server."""
--- a/packages/agateferry-service/agateferry_service/http/bodies.py
+++ b/packages/agateferry-service/agateferry_service/http/bodies.py
@@ -1,4 +1,4 @@
-"""Reading bodies and headers of HTTP requests within bounds."""
+"""Reading of HTTP request bodies and headers, with limits on size and time."""
 
 import asyncio
 import json
@@ -12,24 +12,26 @@
 from agateferry_service.http.problems import problem
 
 ModelT = TypeVar("ModelT", bound=BaseModel)
-MAX_SHOWN_PROBLEMS = 3
+MAX_SHOWN_ERRORS = 3
 
 
 async def read_body(req: Request, max_bytes: int, timeout_ms: int) -> Result[bytes, Response]:
-    """Read a whole body of at most `max_bytes` within `timeout_ms`, or say why not."""
+    """Read a body of at most `max_bytes` within `timeout_ms`, or return the error response."""
     try:
         async with asyncio.timeout(timeout_ms / 1000):
             return await _collect(req, max_bytes)
     except TimeoutError:
-        return Error(problem(408, "slow-body", f"the body took longer than {timeout_ms} ms"))
+        return Error(problem(408, "slow-body", f"the body was not received within {timeout_ms} ms"))
     except ClientDisconnect:
-        return Error(problem(400, "cut-body", "the connection ended within the body"))
+        return Error(
+            problem(400, "cut-body", "the connection was closed before the end of the body")
+        )
 
 
 async def read_model(
     req: Request, model: type[ModelT], max_bytes: int, timeout_ms: int
 ) -> Result[tuple[ModelT, bytes], Response]:
-    """Read a JSON body into a model; return it with the bytes that it was read from."""
+    """Read a JSON body into a model; return the model and the raw bytes, or the error response."""
     content_type = req.headers.get("content-type", "application/json")
     if not content_type.startswith("application/json"):
         return Error(problem(415, "not-json", f"send application/json, not {content_type}"))
@@ -53,7 +55,7 @@
 
 
 def canonical_json(data: bytes) -> bytes:
-    """Return JSON in a form that does not depend on white space or on the order of keys."""
+    """Return the JSON in canonical form, independent of white space and the order of keys."""
     return json.dumps(json.loads(data), sort_keys=True, separators=(",", ":")).encode()
 
 
@@ -62,18 +64,20 @@
     async for chunk in req.stream():
         data += chunk
         if len(data) > max_bytes:
-            return Error(problem(413, "body-too-large", f"at most {max_bytes} bytes are taken"))
+            return Error(
+                problem(413, "body-too-large", f"the body is limited to {max_bytes} bytes")
+            )
     return Ok(bytes(data))
 
 
 def _invalid(exc: ValidationError) -> Response:
-    faults = exc.errors(include_url=False, include_context=False, include_input=False)
+    errors = exc.errors(include_url=False, include_context=False, include_input=False)
     shown = [
-        f"{'.'.join(str(part) for part in fault['loc']) or 'body'}: {fault['msg']}"
-        for fault in faults[:MAX_SHOWN_PROBLEMS]
+        f"{'.'.join(str(part) for part in error['loc']) or 'body'}: {error['msg']}"
+        for error in errors[:MAX_SHOWN_ERRORS]
     ]
-    broken = any(fault["type"] == "json_invalid" for fault in faults)
-    status, reason = (400, "broken-json") if broken else (422, "invalid")
+    is_broken_json = any(error["type"] == "json_invalid" for error in errors)
+    status, reason = (400, "broken-json") if is_broken_json else (422, "invalid")
     return problem(status, reason, "; ".join(shown))
 
 
--- a/packages/agateferry-service/agateferry_service/http/problems.py
+++ b/packages/agateferry-service/agateferry_service/http/problems.py
@@ -1,4 +1,4 @@
-"""Errors as problem details (RFC 9457)."""
+"""Error responses in the form of problem details (RFC 9457)."""
 
 import json
 from http import HTTPStatus
@@ -35,7 +35,7 @@
 def problem(
     status: int, reason: str, detail: str, run: str | None = NOT_RUN, **members: Any
 ) -> Response:
-    """Make an error response; `run` says whether anything ran, or None where that is no question.
+    """Return an error response; `run` says whether the request ran, or is None if there was none.
 
     For example `problem(404, "unknown-job", "no job record is named x")`.
     """
@@ -53,13 +53,13 @@
 
 
 def refusal_response(refusal: pb.Refusal) -> Response:
-    """Make the error response of a refusal, with the time to come back where there is one."""
+    """Return the error response of a refusal, with `Retry-After` if a retry can succeed."""
     status = STATUS_OF_REASON.get(refusal.reason, 503)
-    unknown = refusal.reason == RefusalReason.OUTCOME_UNKNOWN
+    outcome_unknown = refusal.reason == RefusalReason.OUTCOME_UNKNOWN
     members: dict[str, Any] = {}
     if refusal.current:
         members["current"] = json.loads(refusal.current)
-    run = MAY_HAVE_RUN if unknown else NOT_RUN
+    run = MAY_HAVE_RUN if outcome_unknown else NOT_RUN
     resp = problem(status, refusal.reason, refusal.detail, run, **members)
     if refusal.retry_after_ms:
         resp.headers["Retry-After"] = str(retry_after_s(refusal.retry_after_ms))
@@ -67,5 +67,5 @@
 
 
 def retry_after_s(retry_after_ms: int) -> int:
-    """Return whole seconds for `Retry-After`, never fewer than the milliseconds given."""
+    """Return the whole seconds of `Retry-After`, rounded up and at least 1."""
     return max(1, -(-retry_after_ms // 1000))
--- a/packages/agateferry-service/agateferry_service/http/server.py
+++ b/packages/agateferry-service/agateferry_service/http/server.py
@@ -1,4 +1,4 @@
-"""Serving an application on one port with uvicorn, on the daemon's own loop."""
+"""A server of one application on one port, with uvicorn on the daemon's event loop."""
 
 import asyncio
 import contextlib
@@ -15,58 +15,58 @@
 
 
 class BoundedHeadProtocol(H11Protocol):
-    """Close a connection whose client does not finish a request's head in time.
+    """Close a connection if the client does not send a request's head within `head_s` seconds.
 
-    Without a bound, clients that send nothing or very slowly would use up the connections that a
-    port takes.
+    Without this timeout, clients that send nothing or very slowly would use up the connection limit
+    of a port.
     """
 
     head_s = 5.0
     _head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Begin to wait for the first head."""
+        """Start the timeout for the first head."""
         super().connection_made(transport)
-        self._await_head()
+        self._start_head_timer()
 
     def data_received(self, data: bytes) -> None:
-        """Take data in; a head that has begun must end in time."""
+        """Process data; a complete head stops the timeout, and the next head starts it."""
         super().data_received(data)
         if self.cycle is not None and not self.cycle.response_complete:
-            self._forget_head()
+            self._cancel_head_timer()
         elif self._head_timer is None:
-            self._await_head()
+            self._start_head_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop the timer with the connection."""
-        self._forget_head()
+        """Stop the timeout."""
+        self._cancel_head_timer()
         super().connection_lost(exc)
 
-    def _await_head(self) -> None:
+    def _start_head_timer(self) -> None:
         self._head_timer = self.loop.call_later(self.head_s, self.transport.close)
 
-    def _forget_head(self) -> None:
+    def _cancel_head_timer(self) -> None:
         if self._head_timer is not None:
             self._head_timer.cancel()
             self._head_timer = None
 
 
 def bounded_protocol(head_ms: int) -> type[BoundedHeadProtocol]:
-    """Return the protocol with its bound, in the form that uvicorn takes."""
+    """Return the protocol class with its timeout, because uvicorn takes a class."""
     return type("BoundedHead", (BoundedHeadProtocol,), {"head_s": head_ms / 1000})
 
 
 class UvicornServerWithoutSignals(uvicorn.Server):
-    """A uvicorn server that leaves signals to the daemon."""
+    """A uvicorn server that installs no signal handlers, because the daemon has its own."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Capture nothing."""
+        """Leave the signal handlers as they are."""
         yield
 
 
 class HttpServer:
-    """Serve one application until told to stop; a stop lets requests in flight finish."""
+    """Serve one application until stopped; a stop lets requests in flight finish."""
 
     def __init__(
         self, name: str, app: ASGIApp, address: Address, max_connections: int, head_ms: int
@@ -89,9 +89,9 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Bind the port and begin to serve; raise OSError when the port is taken."""
+        """Bind the port and start to serve; raise OSError if the port is in use."""
         family = socket.AF_INET6 if ":" in self.address.ip else socket.AF_INET
-        # asyncio turns Nagle's algorithm off only where a socket names its protocol.
+        # asyncio sets TCP_NODELAY only if the socket was created with IPPROTO_TCP.
         sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((self.address.ip, self.address.port))
@@ -99,7 +99,7 @@
         self._task = asyncio.create_task(self._server.serve(sockets=[sock]))
 
     async def stop(self, drain_ms: int) -> None:
-        """Take no new connections and let what is in flight finish, for up to `drain_ms`."""
+        """Accept no new connections; let requests in flight finish for up to `drain_ms`."""
         self._server.should_exit = True
         if self._task is None:
             return
