--- a/packages/agateferry-service/agateferry_service/__init__.py
+++ b/packages/agateferry-service/agateferry_service/__init__.py
@@ -1,3 +1,3 @@
-"""The agateferryd daemon: callers, requests, endpoints and operators."""
+"""The agateferryd daemon, which runs on every entry host."""
 
 __version__ = "0.1.0"
