--- a/packages/agateferry-service/agateferry_service/cell/admission.py
+++ b/packages/agateferry-service/agateferry_service/cell/admission.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Checks submissions against the records in force in this zone."""
+    """Check submissions against the records in force in this zone."""
 
     catalog: Catalog
     clock: Clock
--- a/packages/agateferry-service/agateferry_service/cell/attempts.py
+++ b/packages/agateferry-service/agateferry_service/cell/attempts.py
@@ -36,7 +36,7 @@
 
 
 class AttemptManager:
-    """Starts the attempts that the log holds, and proposes the outcome of each."""
+    """Start the attempts that the log holds, and propose the outcome of each."""
 
     def __init__(self, ctx: CellContext, driver: Callable[[], SchedulerDriver]) -> None:
         self._ctx = ctx
--- a/packages/agateferry-service/agateferry_service/cell/catalog.py
+++ b/packages/agateferry-service/agateferry_service/cell/catalog.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalog:
-    """Reads the zone's copy of the records and converts it to the scheduler's types."""
+    """Read the zone's copy of the records and convert it to the scheduler's types."""
 
     records: RecordStore
     zone: str
--- a/packages/agateferry-service/agateferry_service/cell/cell.py
+++ b/packages/agateferry-service/agateferry_service/cell/cell.py
@@ -15,7 +15,7 @@
 
 
 class Cell:
-    """Starts and stops the leader as this host gains and loses leadership, and serves its calls.
+    """Start and stop the leader as this host gains and loses leadership, and serve its calls.
 
     While another host leads, every call is refused with `not-leader` and the leader's name.
     """
--- a/packages/agateferry-service/agateferry_service/cell/leader.py
+++ b/packages/agateferry-service/agateferry_service/cell/leader.py
@@ -52,7 +52,7 @@
 
 
 class CellLeader:
-    """Serves a zone while this host leads its cell."""
+    """Serve a zone while this host leads its cell."""
 
     def __init__(
         self,
--- a/packages/agateferry-service/agateferry_service/cell/machine.py
+++ b/packages/agateferry-service/agateferry_service/cell/machine.py
@@ -10,7 +10,7 @@
 
 
 class CellMachine:
-    """Applies the cell's commands to the ledger, the registry and the zone's copy of the records.
+    """Apply the cell's commands to the ledger, the registry and the zone's copy of the records.
 
     `listeners` are called on every host after each command, with the command and its result.
     """
--- a/packages/agateferry-service/agateferry_service/cell/proposer.py
+++ b/packages/agateferry-service/agateferry_service/cell/proposer.py
@@ -13,7 +13,7 @@
 
 
 class Proposer:
-    """Proposes commands to the replicated log.
+    """Propose commands to the replicated log.
 
     `outcome_uncertain` is set when the outcome of a command is unknown. The leader's state may then
     lack what the log holds, so the leader must restart and rebuild it from the ledger.
--- a/packages/agateferry-service/agateferry_service/cell/scheduler_driver.py
+++ b/packages/agateferry-service/agateferry_service/cell/scheduler_driver.py
@@ -19,14 +19,14 @@
 
 
 class DecisionHandler(Protocol):
-    """Executes decisions; a handler must not feed the scheduler before it returns."""
+    """Execute decisions; a handler must not feed the scheduler before it returns."""
 
     def execute(self, decision: Decision) -> None:
         """Start to execute one decision."""
 
 
 class SchedulerDriver:
-    """Feeds events to a scheduler and passes its decisions on, in order."""
+    """Feed events to a scheduler and pass its decisions on, in order."""
 
     def __init__(
         self,
--- a/packages/agateferry-service/agateferry_service/cell/servicer.py
+++ b/packages/agateferry-service/agateferry_service/cell/servicer.py
@@ -15,7 +15,7 @@
 
 
 class CellServicer(cell_pb2_grpc.CellServicer):
-    """Serves calls from other entry hosts.
+    """Serve calls from other entry hosts.
 
     gRPC cancels a handler when its caller disconnects or times out. The call still runs to its end,
     because otherwise a request could be stored but never launched.
--- a/packages/agateferry-service/agateferry_service/cell/tasks.py
+++ b/packages/agateferry-service/agateferry_service/cell/tasks.py
@@ -6,7 +6,7 @@
 
 
 class TaskGroup:
-    """Keeps tasks until they are done, and cancels the remaining ones on request."""
+    """Keep tasks until they are done, and cancel the remaining ones on request."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
--- a/packages/agateferry-service/agateferry_service/cell/tests/support.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/support.py
@@ -41,7 +41,7 @@
 
 
 class MemoryReplica:
-    """Applies each command at once; tests set `is_leader` and `failing`."""
+    """Apply each command at once; tests set `is_leader` and `failing`."""
 
     def __init__(self, machine):
         self.machine = machine
@@ -79,7 +79,7 @@
 
 
 class FakeWorkers:
-    """Keeps leases as workers do; `starts` counts actual starts by request and member."""
+    """Keep leases as workers do; `starts` counts actual starts by request and member."""
 
     def __init__(self):
         self.leases = {}
--- a/packages/agateferry-service/agateferry_service/cell/tests/test_servicer.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/test_servicer.py
@@ -8,7 +8,7 @@
 
 
 class SlowCell:
-    """Receives a call and completes it when the test allows it."""
+    """Receive a call and complete it when the test allows it."""
 
     def __init__(self):
         self.may_complete = asyncio.Event()
--- a/packages/agateferry-service/agateferry_service/cell/views.py
+++ b/packages/agateferry-service/agateferry_service/cell/views.py
@@ -13,7 +13,7 @@
 
 
 class CellViews:
-    """Answers operators' queries from the leader's state."""
+    """Answer operators' queries from the leader's state."""
 
     def __init__(self, leader: CellLeader) -> None:
         self._leader = leader
--- a/packages/agateferry-service/agateferry_service/cell/waiters.py
+++ b/packages/agateferry-service/agateferry_service/cell/waiters.py
@@ -8,7 +8,7 @@
 
 
 class Waiters:
-    """Wakes callers when the request that they wait for has ended.
+    """Wake callers when the request that they wait for has ended.
 
     It listens to the state machine, so a caller never learns of an end that is not committed.
     """
--- a/packages/agateferry-service/agateferry_service/cell/worker_monitor.py
+++ b/packages/agateferry-service/agateferry_service/cell/worker_monitor.py
@@ -27,7 +27,7 @@
 
 
 class WorkerMonitor:
-    """Tracks when each worker last sent a heartbeat, and declares silent workers lost.
+    """Track when each worker last sent a heartbeat, and declare silent workers lost.
 
     The times of heartbeats are kept by this leader only; just changes of a worker go to the log. A
     new leader treats every worker as if it had sent a heartbeat when the leader started.
--- a/packages/agateferry-service/agateferry_service/dispatch/attempt.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/attempt.py
@@ -94,7 +94,7 @@
 
 
 class Attempt:
-    """Runs one attempt.
+    """Run one attempt.
 
     `is_leader` is checked before each call that changes state on a worker.
     """
--- a/packages/agateferry-service/agateferry_service/dispatch/budget.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/budget.py
@@ -10,7 +10,7 @@
 
 
 class RetryBudget:
-    """Allows retries in proportion to first attempts, plus a small reserve.
+    """Allow retries in proportion to first attempts, plus a small reserve.
 
     For example, with 20 percent a hundred first attempts allow twenty retries.
     """
--- a/packages/agateferry-service/agateferry_service/dispatch/client.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/client.py
@@ -85,7 +85,7 @@
 
 
 class WorkerClient:
-    """Calls workers over pooled connections, and polls leases over fresh ones.
+    """Call workers over pooled connections, and poll leases over fresh ones.
 
     A poll may follow a call that got no reply, so it must not depend on the same connection.
     """
--- a/packages/agateferry-service/agateferry_service/dispatch/tests/test_attempt.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/tests/test_attempt.py
@@ -21,7 +21,7 @@
 
 
 class FakeWorkers:
-    """Replies from scripts; a script is a list of replies of which the last is repeated."""
+    """Reply from scripts; a script is a list of replies of which the last is repeated."""
 
     def __init__(self, **scripts):
         self.scripts = scripts
--- a/packages/agateferry-service/agateferry_service/requests/ledger.py
+++ b/packages/agateferry-service/agateferry_service/requests/ledger.py
@@ -33,7 +33,7 @@
 
 
 class Ledger:
-    """Holds all requests that have not been dropped, by id and by idempotency key."""
+    """Hold all requests that have not been dropped, by id and by idempotency key."""
 
     def __init__(self) -> None:
         self._open: dict[str, Request] = {}
--- a/packages/agateferry-service/agateferry_service/routing/channels.py
+++ b/packages/agateferry-service/agateferry_service/routing/channels.py
@@ -20,7 +20,7 @@
 
 
 class Channels:
-    """Keeps one channel per address, and replaces a channel whose host does not reply."""
+    """Keep one channel per address, and replace a channel whose host does not reply."""
 
     def __init__(self) -> None:
         self._channels: dict[str, grpc.aio.Channel] = {}
--- a/packages/agateferry-service/agateferry_service/routing/router.py
+++ b/packages/agateferry-service/agateferry_service/routing/router.py
@@ -45,7 +45,7 @@
 
 
 class Router:
-    """Finds the leader of one group, calls it and retries.
+    """Find the leader of one group, call it and retry.
 
     All calls are idempotent and can be retried: submissions carry the request's id, and the others
     have no further effect. A call that may have arrived but has no reply at the timeout is refused
--- a/packages/agateferry-service/agateferry_service/routing/zone_routers.py
+++ b/packages/agateferry-service/agateferry_service/routing/zone_routers.py
@@ -10,7 +10,7 @@
 
 
 class ZoneRouters:
-    """Holds a router for each zone and one for the records plane."""
+    """Hold a router for each zone and one for the records plane."""
 
     def __init__(
         self,
