--- a/packages/agateferry-service/agateferry_service/settings/problems.py
+++ b/packages/agateferry-service/agateferry_service/settings/problems.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a settings file."""
+"""The problems that a settings file can have."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One fault of a settings file: where it is, what stands there and what is allowed."""
+    """A problem of a settings file: its place, the value there and what is allowed instead."""
 
     file: Path
     key: str
@@ -16,24 +16,24 @@
     allowed: str
 
     def __str__(self) -> str:
-        """Return the fault as one line for people."""
+        """Return the problem as one line of text."""
         shown = f" = {self.value}" if self.value else ""
         return f"{self.file}: {self.key}{shown}: {self.allowed}"
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsError:
-    """All faults of a settings file, in the order of its sections."""
+    """All problems of a settings file, as far as one reading finds them."""
 
     problems: tuple[Problem, ...]
 
     def __str__(self) -> str:
-        """Return one line for each fault."""
+        """Return one line for each problem."""
         return "\n".join(str(problem) for problem in self.problems)
 
 
 def shown_value(value: object) -> str:
-    """Return a value as an error shows it, cut to a length that fits a line."""
+    """Return the repr of a value, truncated to MAX_SHOWN_VALUE_CHARS characters."""
     text = repr(value)
     if len(text) <= MAX_SHOWN_VALUE_CHARS:
         return text
--- a/packages/agateferry-service/agateferry_service/settings/settings.py
+++ b/packages/agateferry-service/agateferry_service/settings/settings.py
@@ -1,7 +1,7 @@
-"""What one host of the system is told about itself and its peers.
+"""The settings of one host of the system: itself, its peers, limits and timeouts.
 
-A `Settings` value has been checked as a whole: its host is among its peers, addresses are unique
-and timeouts fit each other. It is read by `load_settings` and never changes while a daemon runs.
+`load_settings` returns a `Settings` only after it checked the whole: the host is among its peers,
+addresses are unique and timeouts fit each other. Settings do not change while a daemon runs.
 """
 
 from dataclasses import dataclass
@@ -10,19 +10,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An IP number and a TCP port, written `ip:port`, with an IPv6 number in brackets."""
+    """An IP address and a port, written `ip:port`, with an IPv6 address in brackets."""
 
     ip: str
     port: int
 
     def __str__(self) -> str:
-        """Return the address in the form that `ip:port` settings use."""
+        """Return the address as `ip:port`."""
         return f"[{self.ip}]:{self.port}" if ":" in self.ip else f"{self.ip}:{self.port}"
 
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """Who this host is; `data_folder` is None on a host with no disk."""
+    """The identity of this host; `data_folder` is None on a host without a disk."""
 
     name: str
     zone: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """One entry host of the system, seen from outside."""
+    """An entry host of the system, with the addresses of its ports as other hosts reach them."""
 
     name: str
     zone: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitSettings:
-    """Bounds on what a client may take up."""
+    """Limits on the size, number, duration and rate of what clients send."""
 
     max_body_bytes: int
     max_connections_callers: int
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeoutSettings:
-    """How long each thing may take, in milliseconds."""
+    """Timeouts and intervals, in milliseconds."""
 
     worker_heartbeat_ms: int
     worker_silence_ms: int
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationSettings:
-    """The pace of the replicated logs."""
+    """The timings of the replicated logs and the interval of their snapshots."""
 
     heartbeat_ms: int
     election_timeout_ms: int
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSettings:
-    """How log lines look and which are written."""
+    """The format of log lines, and the least severe level that is written."""
 
     level: str
     as_json: bool
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordingSettings:
-    """Where scheduler events are recorded for replay; None turns recording off."""
+    """The file for the trace of scheduler events; None turns recording off."""
 
     trace_file: Path | None
 
@@ -110,7 +110,7 @@
 class Settings:
     """All settings of one agateferryd.
 
-    `warnings` names each old setting that the file still uses and the one that took its place.
+    `warnings` names each old key that the file still uses, with the new key.
     """
 
     host: HostSettings
@@ -124,7 +124,7 @@
     warnings: tuple[str, ...] = ()
 
     def zone_peers(self) -> tuple[PeerSettings, ...]:
-        """Return the hosts of this host's own zone, itself among them."""
+        """Return the hosts of this host's zone, including itself."""
         return tuple(peer for peer in self.peers if peer.zone == self.host.zone)
 
     def records_voters(self) -> tuple[PeerSettings, ...]:
@@ -132,5 +132,5 @@
         return tuple(peer for peer in self.peers if peer.records_voter)
 
     def own_peer(self) -> PeerSettings:
-        """Return the entry of the peer list that stands for this host."""
+        """Return this host's own entry in the list of peers."""
         return next(peer for peer in self.peers if peer.name == self.host.name)
--- a/packages/agateferry-service/agateferry_service/settings/table.py
+++ b/packages/agateferry-service/agateferry_service/settings/table.py
@@ -1,6 +1,6 @@
-"""The one table of settings: key, default, bounds, unit and description of each.
+"""The table of all settings: key, type, default, limits, unit and description of each.
 
-The validated models, the error texts and the test of docs/settings.md are all made from it.
+The models that validate a file, the error texts and the tables of docs/settings.md come from it.
 """
 
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 
 class ValueType(StrEnum):
-    """Say what kind of value a setting takes."""
+    """The type of a setting's value."""
 
     NAME = "name"
     ADDRESS = "address"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One setting; `required` settings have no default, and None as a default means absent."""
+    """A setting; a required one has no default, and the default None means that it is absent."""
 
     section: str
     key: str
@@ -38,14 +38,14 @@
     max_value: int = 0
 
     def allowed(self) -> str:
-        """Return the values that this setting takes, in words."""
+        """Return the values that this setting allows, as a part of an error text."""
         match self.value_type:
             case ValueType.NAME:
-                return "needs a name of 1 to 63 small letters, digits and hyphens"
+                return "needs a name of 1 to 63 lower-case letters, digits and hyphens"
             case ValueType.ADDRESS:
-                return "needs an IP number and a port, such as 127.0.0.1:7400"
+                return "needs an IP address and a port, such as 127.0.0.1:7400"
             case ValueType.PATH:
-                return "needs a path, not empty"
+                return "needs a path that is not empty"
             case ValueType.NUMBER:
                 unit = f" ({self.unit})" if self.unit else ""
                 return f"needs a whole number from {self.min_value} to {self.max_value}{unit}"
@@ -101,30 +101,36 @@
     _path(
         "host",
         "data_folder",
-        "Folder of the host's state; absent on a host with no disk.",
+        "Folder of the host's stored state; absent on a host without a disk.",
     ),
-    _address("listen", "callers", "Where callers send requests."),
-    _address("listen", "operators", "Where operators and the metrics collector connect."),
-    _address("listen", "endpoints", "Where workers announce themselves."),
-    _address("listen", "peers", "Where the other entry hosts connect."),
+    _address("listen", "callers", "Address of the port for callers."),
+    _address("listen", "operators", "Address of the port for operators and the metrics collector."),
+    _address("listen", "endpoints", "Address of the port for workers' heartbeats."),
+    _address("listen", "peers", "Address of the port for other entry hosts."),
     _name("peers", "name", "Name of the entry host."),
     _name("peers", "zone", "Availability zone of the entry host."),
-    _address("peers", "peers", "Address of its `listen.peers`."),
-    _address("peers", "callers", "Address of its `listen.callers`."),
-    _address("peers", "operators", "Address of its `listen.operators`."),
-    _flag("peers", "disk", True, "Whether the host has a disk."),
+    _address("peers", "peers", "Address at which other hosts reach its `listen.peers`."),
+    _address("peers", "callers", "Address at which other hosts reach its `listen.callers`."),
+    _address("peers", "operators", "Address at which other hosts reach its `listen.operators`."),
+    _flag("peers", "disk", True, "Whether the host stores its state on a disk."),
     _flag("peers", "records_voter", False, "Whether the host votes on operators' records."),
-    _limit("max_body_bytes", 1_048_576, "bytes", 1_024, 67_108_864, "Longest body taken."),
-    _limit("max_connections_callers", 2_000, "", 1, 65_536, "Open connections of callers."),
-    _limit("max_connections_operators", 100, "", 1, 65_536, "Open connections of operators."),
-    _limit("max_connections_endpoints", 1_000, "", 1, 65_536, "Open connections of workers."),
+    _limit("max_body_bytes", 1_048_576, "bytes", 1_024, 67_108_864, "Largest request body."),
+    _limit(
+        "max_connections_callers", 2_000, "", 1, 65_536, "Maximum of open connections of callers."
+    ),
+    _limit(
+        "max_connections_operators", 100, "", 1, 65_536, "Maximum of open connections of operators."
+    ),
+    _limit(
+        "max_connections_endpoints", 1_000, "", 1, 65_536, "Maximum of open connections of workers."
+    ),
     _limit(
         "request_head_timeout_ms",
         5_000,
         "ms",
         100,
         600_000,
-        "How long a client may take to send a request's head.",
+        "Time limit for a client to send a request's head.",
     ),
     _limit(
         "request_body_timeout_ms",
@@ -132,16 +138,18 @@
         "ms",
         100,
         600_000,
-        "How long a client may take to send a request's body.",
+        "Time limit for a client to send a request's body.",
+    ),
+    _limit(
+        "max_wait_ms", 60_000, "ms", 0, 600_000, "Longest wait that `Prefer: wait` can ask for."
     ),
-    _limit("max_wait_ms", 60_000, "ms", 0, 600_000, "Longest `Prefer: wait` that is held."),
     _limit(
         "max_announcements_per_s",
         5,
         "",
         1,
         10_000,
-        "Heartbeats a second for a zone's leader; many workers are asked for them less often.",
+        "Most heartbeats per second to a zone's leader; with many workers, each sends fewer.",
     ),
     _limit(
         "retry_budget_percent",
@@ -149,30 +157,64 @@
         "percent",
         0,
         100,
-        "Retries to workers allowed for each hundred first attempts.",
+        "Retried calls to workers per hundred first attempts.",
+    ),
+    _timeout(
+        "worker_heartbeat_ms",
+        2_000,
+        100,
+        60_000,
+        "Interval of a worker's heartbeats; longer with many workers.",
+    ),
+    _timeout(
+        "worker_silence_ms",
+        7_000,
+        300,
+        600_000,
+        "Time without a heartbeat after which a worker is lost.",
     ),
     _timeout(
-        "worker_heartbeat_ms", 2_000, 100, 60_000, "How often a worker announces itself at least."
+        "reservation_ttl_ms",
+        10_000,
+        100,
+        600_000,
+        "Time after which a worker drops an unused reservation.",
     ),
-    _timeout("worker_silence_ms", 7_000, 300, 600_000, "Silence after which a worker is lost."),
-    _timeout("reservation_ttl_ms", 10_000, 100, 600_000, "When an unused reservation lapses."),
-    _timeout("rpc_ms", 2_000, 50, 60_000, "How long a call to a peer may take."),
+    _timeout("rpc_ms", 2_000, 50, 60_000, "Timeout of a call to a peer."),
     _timeout(
         "endpoint_silence_ms",
         3_000,
         100,
         600_000,
-        "Silence of a connection to a worker after which a new one is opened to ask.",
+        "Time without a reply from a worker before it is polled over a new connection.",
+    ),
+    _timeout(
+        "retry_pause_ms",
+        100,
+        1,
+        60_000,
+        "Pause before the first retry; it doubles with each retry.",
     ),
-    _timeout("retry_pause_ms", 100, 1, 60_000, "First pause before a retry; it doubles each time."),
     _timeout(
-        "drain_notice_ms", 1_500, 0, DAY_MS, "Time for the balancer to see that a host stops."
+        "drain_notice_ms",
+        1_500,
+        0,
+        DAY_MS,
+        "Time for the load balancer to notice that a host stops.",
+    ),
+    _timeout(
+        "drain_ms", 30_000, 0, DAY_MS, "Time limit of a graceful stop to finish held requests."
     ),
-    _timeout("drain_ms", 30_000, 0, DAY_MS, "Time for a planned stop to finish held requests."),
     _timeout(
-        "answer_keep_ms", 3_600_000, 1_000, DAY_MS, "How long an answer is kept after the end."
+        "answer_keep_ms",
+        3_600_000,
+        1_000,
+        DAY_MS,
+        "Time for which an ended request and its answer are kept.",
+    ),
+    _number(
+        "replication", "heartbeat_ms", 250, "ms", 10, 60_000, "Interval of a leader's heartbeats."
     ),
-    _number("replication", "heartbeat_ms", 250, "ms", 10, 60_000, "Pace of a leader's heartbeats."),
     _number(
         "replication",
         "election_timeout_ms",
@@ -180,7 +222,7 @@
         "ms",
         50,
         600_000,
-        "Silence of a leader after which a new one is elected.",
+        "Time without a leader's heartbeat after which an election starts.",
     ),
     _number(
         "replication",
@@ -189,10 +231,12 @@
         "entries",
         10,
         1_000_000,
-        "Log entries between two snapshots.",
+        "Log entries from one snapshot to the next.",
+    ),
+    Setting(
+        "log", "level", ValueType.LEVEL, "Lowest level of the log lines that are written.", "info"
     ),
-    Setting("log", "level", ValueType.LEVEL, "Least severe lines that are written.", "info"),
-    _flag("log", "as_json", True, "Whether lines are JSON; otherwise a form for people."),
+    _flag("log", "as_json", True, "Whether log lines are JSON; otherwise they are plain text."),
     _path("recording", "trace_file", "File for the trace of scheduler events; absent: off."),
 )
 
@@ -212,5 +256,5 @@
 
 
 def find_setting(section: str, key: str) -> Setting | None:
-    """Return one setting, or None where there is none by that name."""
+    """Return the setting of a section and key, or None if there is none."""
     return next((s for s in SETTINGS if (s.section, s.key) == (section, key)), None)
