--- a/packages/agateferry-service/agateferry_service/daemon/tests/test_host.py
+++ b/packages/agateferry-service/agateferry_service/daemon/tests/test_host.py
@@ -34,15 +34,15 @@
     await wait_until_in_force(client, "quick")
 
 
-async def held_request(client, wait_s):
+async def submit_and_hold(client, wait_s):
     """Return the task of a submission that the host holds, because the only worker is leaving."""
     await put_team_and_job(client)
     await client.announce("w1", state="leaving")
     prefer = f"wait={wait_s}"
-    held = asyncio.create_task(client.submit({"team": "t", "job": "quick"}, Prefer=prefer))
+    pending_call = asyncio.create_task(client.submit({"team": "t", "job": "quick"}, Prefer=prefer))
     while not len(client.host.cell.ctx.machine.ledger):
         await asyncio.sleep(0.01)
-    return held
+    return pending_call
 
 
 class BadInputTests(testtools.TestCase):
@@ -191,10 +191,10 @@
 class LongWaitTests(testtools.TestCase):
     def test_a_graceful_stop_replies_to_a_wait_that_is_longer_than_the_drain(self):
         async def work(client):
-            held = await held_request(client, 60)
+            pending_call = await submit_and_hold(client, 60)
             async with asyncio.timeout(20):
                 await client.host.stop()
-                status, body, headers = await held
+                status, body, headers = await pending_call
             return status, body["state"], headers["Location"].endswith(body["id"])
 
         self.assertEqual((202, "accepted", True), run_on_host(work))
@@ -253,8 +253,8 @@
 class StopTests(testtools.TestCase):
     def test_a_graceful_stop_does_not_interrupt_a_held_request(self):
         async def work(client):
-            held = await held_request(client, 1)
+            pending_call = await submit_and_hold(client, 1)
             await client.host.stop()
-            return (await held)[0]
+            return (await pending_call)[0]
 
         self.assertIn(run_on_host(work), (200, 202))
--- a/packages/agateferry-service/agateferry_service/operators/app.py
+++ b/packages/agateferry-service/agateferry_service/operators/app.py
@@ -178,7 +178,7 @@
         return PlainTextResponse("alive\n")
 
     async def readyz(self, req: Request) -> Response:
-        """Tell the load balancer whether to send callers to this host."""
+        """Return 200 if the load balancer should send callers to this host, else 503."""
         if self._is_ready():
             return PlainTextResponse("ready\n")
         return PlainTextResponse("not ready\n", status_code=503)
--- a/packages/agateferry-service/agateferry_service/operators/membership.py
+++ b/packages/agateferry-service/agateferry_service/operators/membership.py
@@ -169,17 +169,17 @@
 
         A voter whose host restarted with an empty data folder has another incarnation.
         """
-        documents = {
-            status["host"]: status
-            for status in await self._hosts.all_statuses()
-            if status["reachable"]
+        host_statuses = {
+            host_status["host"]: host_status
+            for host_status in await self._hosts.all_statuses()
+            if host_status["reachable"]
         }
         running = []
         for voter in status.members:
-            document = documents.get(voter.host)
-            if not voter.is_voter or document is None or voter.host == status.host:
+            host_status = host_statuses.get(voter.host)
+            if not voter.is_voter or host_status is None or voter.host == status.host:
                 continue
-            replica = document if group is Group.CELL else document["records"]
+            replica = host_status if group is Group.CELL else host_status["records"]
             if replica.get("incarnation", voter.incarnation) == voter.incarnation:
                 running.append(voter.host)
         return running
@@ -257,7 +257,7 @@
     voters_with_disk = sum(1 for member in members_after.voters if member.has_disk)
     tolerated_failures = (len(members_after.voters) - 1) // 2
     return [
-        f"{host} is no longer a member; {voters_with_disk} voter(s) with a disk are left",
+        f"without {host}, {voters_with_disk} voter(s) with a disk are left",
         f"of the {len(members_after.voters)} voter(s) left, {tolerated_failures} may fail before "
         "the group stops",
     ]
--- a/packages/agateferry-service/agateferry_service/settings/settings.py
+++ b/packages/agateferry-service/agateferry_service/settings/settings.py
@@ -1,7 +1,7 @@
 """The settings of one host of the system: itself, its peers, limits and timeouts.
 
-`load_settings` returns a `Settings` only after it checked the whole: the host is among its peers,
-addresses are unique and timeouts fit each other. Settings do not change while a daemon runs.
+`load_settings` returns a `Settings` only after it checked that the host is among its peers,
+addresses are unique and timeouts fit together. Settings do not change while a daemon runs.
 """
 
 from dataclasses import dataclass
--- a/packages/agateferry-service/agateferry_service/settings/table.py
+++ b/packages/agateferry-service/agateferry_service/settings/table.py
@@ -116,13 +116,28 @@
     _flag("peers", "records_voter", False, "Whether the host votes on operators' records."),
     _limit("max_body_bytes", 1_048_576, "bytes", 1_024, 67_108_864, "Largest request body."),
     _limit(
-        "max_connections_callers", 2_000, "", 1, 65_536, "Maximum of open connections of callers."
+        "max_connections_callers",
+        2_000,
+        "",
+        1,
+        65_536,
+        "Maximum number of open connections of callers.",
     ),
     _limit(
-        "max_connections_operators", 100, "", 1, 65_536, "Maximum of open connections of operators."
+        "max_connections_operators",
+        100,
+        "",
+        1,
+        65_536,
+        "Maximum number of open connections of operators.",
     ),
     _limit(
-        "max_connections_endpoints", 1_000, "", 1, 65_536, "Maximum of open connections of workers."
+        "max_connections_endpoints",
+        1_000,
+        "",
+        1,
+        65_536,
+        "Maximum number of open connections of workers.",
     ),
     _limit(
         "request_head_timeout_ms",
@@ -141,7 +156,12 @@
         "Time limit for a client to send a request's body.",
     ),
     _limit(
-        "max_wait_ms", 60_000, "ms", 0, 600_000, "Longest wait that `Prefer: wait` can ask for."
+        "max_wait_ms",
+        60_000,
+        "ms",
+        0,
+        600_000,
+        "Maximum wait of `Prefer: wait`; a longer one is cut to it.",
     ),
     _limit(
         "max_announcements_per_s",
@@ -149,7 +169,7 @@
         "",
         1,
         10_000,
-        "Most heartbeats per second to a zone's leader; with many workers, each sends fewer.",
+        "Maximum heartbeats per second to a zone's leader; with many workers, each sends fewer.",
     ),
     _limit(
         "retry_budget_percent",
@@ -203,7 +223,7 @@
         "Time for the load balancer to notice that a host stops.",
     ),
     _timeout(
-        "drain_ms", 30_000, 0, DAY_MS, "Time limit of a graceful stop to finish held requests."
+        "drain_ms", 30_000, 0, DAY_MS, "Time limit of a graceful stop to finish requests in flight."
     ),
     _timeout(
         "answer_keep_ms",
