--- a/packages/agateferry-service/agateferry_service/cell/machine.py
+++ b/packages/agateferry-service/agateferry_service/cell/machine.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from agateferry_service.endpoints.registry import Registry
+from agateferry_service.endpoints.registry import WorkerRegistry
 from agateferry_service.requests.ledger import Ledger
 from agateferry_service.rpc import commands_pb2 as pb
 from agateferry_state.records import RecordStore, decode_revisions
 
 
 class CellMachine:
-    """Applies the cell's commands to the ledger, the registry and the zone's copy of the records.
+    """Apply the cell's commands to the ledger, the registry and the zone's copy of the records.
 
     `listeners` are called on every host after each command, with the command and its result.
     """
@@ -18,7 +18,7 @@
     def __init__(self, zone: str) -> None:
         self.zone = zone
         self.ledger = Ledger()
-        self.registry = Registry(zone)
+        self.registry = WorkerRegistry(zone)
         self.records = RecordStore()
         self.listeners: list[Callable[[pb.Command, Any], None]] = []
 
