--- a/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
@@ -12,17 +12,17 @@
 
 
 class Proposer:
-    """Propose commands and log those that have no outcome."""
+    """Propose commands and log those that fail or whose outcome is unknown."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
         self._log = EventLogger()
 
     async def propose(self, command: commands.Command) -> Result[Any, ProposeError]:
-        """Return the outcome of a command once it is stored and applied here."""
+        """Return the result of a command once it is stored and applied here."""
         match await self._replica.propose(commands.encode(command)):
             case Result(tag="ok", ok=applied):
-                return Ok(applied.outcome)
+                return Ok(applied.result)
             case Result(error=error):
                 self._log.warning(
                     events.PROPOSAL_FAILED,
@@ -34,7 +34,7 @@
 
 
 def reply_for(error: ProposeError) -> messages.Reply:
-    """Return what is told to the one who asked for a command without an outcome."""
+    """Return the reply to the caller whose command failed or has an unknown outcome."""
     if error.kind is ProposeErrorKind.UNKNOWN:
         return messages.OutcomeUnknown(error.detail or error.kind)
     return messages.NotLeader(error.leader)
--- a/packages/agateferry-jobs/agateferry_jobs/support/replica.py
+++ b/packages/agateferry-jobs/agateferry_jobs/support/replica.py
@@ -53,10 +53,10 @@
         if kind is not None and kind is not ProposeErrorKind.UNKNOWN:
             return Error(ProposeError(kind, self.leader))
         self._index += 1
-        outcome: Any = self._machine.apply(self._index, command)
+        result: Any = self._machine.apply(self._index, command)
         if kind is not None:
             return Error(ProposeError(kind, self.leader))
-        return Ok(Applied(self._index, outcome))
+        return Ok(Applied(self._index, result))
 
     async def read_barrier(self) -> Result[int, ProposeError]:
         """Return at once."""
--- a/packages/agateferry-service/agateferry_service/cell/proposer.py
+++ b/packages/agateferry-service/agateferry_service/cell/proposer.py
@@ -42,7 +42,7 @@
             self._metrics.proposed(LOG_NAME, result.error.kind.value)
             return Error(result.error)
         self._metrics.proposed(LOG_NAME, "applied")
-        return Ok(result.ok.outcome)
+        return Ok(result.ok.result)
 
 
 def refusal_for_propose_error(error: ProposeError) -> cell_pb2.Refusal:
--- a/packages/agateferry-service/agateferry_service/cell/tests/support.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/support.py
@@ -69,10 +69,10 @@
         if self.failing is not None:
             return Error(ProposeError(self.failing))
         self._index += 1
-        outcome = self.machine.apply(self._index, command)
+        result = self.machine.apply(self._index, command)
         if self.lose_outcomes:
             return Error(ProposeError(ProposeErrorKind.UNKNOWN))
-        return Ok(Applied(self._index, outcome))
+        return Ok(Applied(self._index, result))
 
     async def read_barrier(self):
         return Ok(self._index)
--- a/packages/agateferry-service/agateferry_service/records/plane.py
+++ b/packages/agateferry-service/agateferry_service/records/plane.py
@@ -91,7 +91,7 @@
         result = await self._replica.propose(encode_put(put.ok))
         if result.is_error():
             return pb.QueryReply(refusal=refusal_for_propose_error(result.error))
-        return self._put_reply(result.ok.outcome, Schema(req.schema))
+        return self._put_reply(result.ok.result, Schema(req.schema))
 
     async def read(self, req: pb.QueryRequest) -> pb.QueryReply:
         """Read records as they stand now; `name` is kind/name/what/schema."""
--- a/packages/agateferry-state/agateferry_state/replica/driver.py
+++ b/packages/agateferry-state/agateferry_state/replica/driver.py
@@ -212,13 +212,13 @@
             self.put(messages.Synced(self._write_id))
 
     def _apply(self, entry: messages.LogEntry) -> None:
-        outcome = None
+        result = None
         if entry.kind is messages.EntryKind.COMMAND:
-            outcome = self._machine.apply(entry.index, entry.data)
+            result = self._machine.apply(entry.index, entry.data)
         self.applied_index = entry.index
         if self.core.role is Role.LEADER and entry.term == self.core.term:
             self._note_leading(entry.term)
-        self.proposals.apply(entry, outcome, self.leader)
+        self.proposals.apply(entry, result, self.leader)
 
     def _install(self, snapshot: messages.Snapshot) -> bool:
         if not self._check(self._storage.install_snapshot(snapshot)):
--- a/packages/agateferry-state/agateferry_state/replica/node.py
+++ b/packages/agateferry-state/agateferry_state/replica/node.py
@@ -152,7 +152,7 @@
         driver.close()
 
     async def propose(self, command: bytes) -> Answer:
-        """Have a command agreed upon, stored and applied, and return the machine's outcome."""
+        """Commit and apply a command; return the state machine's result."""
         return await self._ask(lambda proposal_id: messages.Proposed(proposal_id, command))
 
     async def change_member(self, action: messages.MemberAction, member: Member) -> Answer:
--- a/packages/agateferry-state/agateferry_state/replica/proposals.py
+++ b/packages/agateferry-state/agateferry_state/replica/proposals.py
@@ -56,8 +56,8 @@
         """Tell that a proposal was not appended."""
         _refuse(self._asked.pop(proposal_id, None), refusal_of(reason, leader))
 
-    def apply(self, entry: LogEntry, outcome: Any, leader: str | None) -> None:
-        """Tell the outcome of an entry that was applied here to the one who proposed it."""
+    def apply(self, entry: LogEntry, result: Any, leader: str | None) -> None:
+        """Complete the proposal of an entry that was applied here with the command's result."""
         accepted = self._accepted.pop(entry.index, None)
         if accepted is None:
             return
@@ -65,7 +65,7 @@
             error = ProposeError(ProposeErrorKind.NOT_LEADER, leader, "replaced by a new leader")
             _refuse(accepted.fut, error)
         elif not accepted.fut.done():
-            accepted.fut.set_result(Ok(Applied(entry.index, outcome)))
+            accepted.fut.set_result(Ok(Applied(entry.index, result)))
 
     def give_up(self, before_term: int, leader: str | None) -> None:
         """Tell that the fate of what was appended in older terms was not learned."""
--- a/packages/agateferry-state/agateferry_state/replica/protocols.py
+++ b/packages/agateferry-state/agateferry_state/replica/protocols.py
@@ -40,17 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The log index of an applied command and what the state machine made of it."""
+    """The log index of an applied command and what the state machine returned for it."""
 
     index: int
-    outcome: Any
+    result: Any
 
 
 class StateMachine(Protocol):
     """A deterministic machine that is driven by agreed commands."""
 
     def apply(self, index: int, command: bytes) -> Any:
-        """Apply one command and return its outcome; must depend on nothing but its arguments."""
+        """Apply one command and return its result; must depend on nothing but the arguments and state."""
 
     def snapshot(self) -> bytes:
         """Return the whole state in a form that `restore` takes."""
@@ -88,7 +88,7 @@
         """Hand leadership on where possible, finish what is under way and close the files."""
 
     async def propose(self, command: bytes) -> Result[Applied, ProposeError]:
-        """Have a command agreed upon, stored and applied, and return the machine's outcome."""
+        """Commit and apply a command; return the state machine's result."""
 
     async def read_barrier(self) -> Result[int, ProposeError]:
         """Return once the local state holds all that was agreed before the call.
--- a/packages/agateferry-state/agateferry_state/replica/tests/test_node.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/test_node.py
@@ -159,7 +159,7 @@
             async with self.formed([host]):
                 before = host.files.syncs
                 results = await asyncio.gather(*[host.replica.propose(b"x") for _ in range(50)])
-                self.assertEqual(list(range(1, 51)), [result.ok.outcome for result in results])
+                self.assertEqual(list(range(1, 51)), [result.ok.result for result in results])
                 self.assertEqual(1, host.files.syncs - before)
                 await host.stop()
 
