--- a/packages/agateferry-state/agateferry_state/replica/bench.py
+++ b/packages/agateferry-state/agateferry_state/replica/bench.py
@@ -1,9 +1,9 @@
-"""Measure the disk, the replica and the transport of this host.
+"""Measure the disk, replica and transport performance of this host.
 
 Run `python -m agateferry_state.replica.bench`, or name one of the sections, for example
 `python -m agateferry_state.replica.bench commits`. Each row reads `measure state METRIC value
-unit`. All members of a group run in this process, so a figure for three members holds the work of
-all three.
+unit`. All members of a group run in this process, so a figure for three members includes the work
+of all three.
 """
 
 import asyncio
@@ -22,7 +22,11 @@
 from agateferry_state.journal import Journal, Record
 from agateferry_state.journal import Snapshot as StoredSnapshot
 from agateferry_state.members import Members
-from agateferry_state.replica.bench_transport import measure_transport, percentiles, row
+from agateferry_state.replica.bench_transport import (
+    measure_transport,
+    print_measurement,
+    print_percentiles,
+)
 from agateferry_state.replica.node import NodeConfig, NodeReplica, Peer
 from agateferry_state.replica.protocols import StateMachine
 from agateferry_state.replica.storage import open_storage
@@ -40,11 +44,11 @@
 RESTART_CHANGES = (500, 5000)
 SNAPSHOT_EVERY = 1000
 POLL_S = 0.005
-MS = 1000.0
+MS_PER_S = 1000.0
 
 
 class KeyMachine:
-    """Keep the newest of a thousand commands, as a table of records would."""
+    """Store commands in a table of 1,000 rows, each replaced in turn."""
 
     def __init__(self) -> None:
         self.rows: dict[int, bytes] = {}
@@ -55,11 +59,11 @@
         return index
 
     def snapshot(self) -> bytes:
-        """Return the rows one after the other; all are of one length."""
+        """Return the keys and rows concatenated; all rows have the same length."""
         return b"".join(key.to_bytes(2, "big") + row for key, row in sorted(self.rows.items()))
 
     def restore(self, data: bytes) -> None:
-        """Read the rows."""
+        """Decode the keys and rows of a snapshot."""
         width = 2 + len(COMMAND)
         parts = [data[at : at + width] for at in range(0, len(data), width)]
         self.rows = {int.from_bytes(part[:2], "big"): part[2:] for part in parts}
@@ -69,7 +73,7 @@
 async def group(
     folder: Path, size: int, settings: Settings | None = None
 ) -> AsyncIterator[list[NodeReplica]]:
-    """Run the members of one group until all of them vote."""
+    """Start the members of one group and wait until all of them are voters."""
     names = "abcdefghi"[:size]
     peers = tuple(Peer(name, f"127.0.0.1:{free_port()}") for name in names)
     async with AsyncExitStack() as stack:
@@ -97,29 +101,29 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Poll a condition."""
+    """Wait until a condition holds."""
     while not condition():  # noqa: ASYNC110
         await asyncio.sleep(POLL_S)
 
 
 async def measure_disk(folder: Path) -> None:
-    """Measure appends with one sync each, and the storing of a snapshot."""
+    """Measure appends with one sync each, and storing a snapshot."""
     journal = Journal.open(folder / "disk").ok[0]
-    took: list[float] = []
+    latencies_ms: list[float] = []
     for index in range(1, SYNCS + 1):
         began = time.perf_counter()
         journal.append([Record(index, 1, COMMAND)])
         journal.sync()
-        took.append((time.perf_counter() - began) * MS)
-    percentiles("append_and_sync", took)
+        latencies_ms.append((time.perf_counter() - began) * MS_PER_S)
+    print_percentiles("append_and_sync", latencies_ms)
     began = time.perf_counter()
     journal.save_snapshot(StoredSnapshot(SYNCS, 1, bytes(SNAPSHOT_BYTES)))
-    row("store_snapshot_of_4_mib", (time.perf_counter() - began) * MS, "ms")
+    print_measurement("store_snapshot_of_4_mib", (time.perf_counter() - began) * MS_PER_S, "ms")
     journal.close()
 
 
 async def measure_commits(folder: Path) -> None:
-    """Measure proposals made one at a time, and by many at once, which share syncs."""
+    """Measure proposals made one at a time, and made concurrently so that they share syncs."""
     for size in (1, 3):
         async with group(folder / f"commits-{size}", size) as nodes:
             leader = next(node for node in nodes if node.is_leader)
@@ -128,32 +132,34 @@
 
 
 async def _commit(metric: str, leader: NodeReplica, proposers: int, commits: int) -> None:
-    took: list[float] = []
+    latencies_ms: list[float] = []
 
     async def propose(count: int) -> None:
         for _ in range(count):
             began = time.perf_counter()
             answer = await leader.propose(COMMAND)
             assert answer.is_ok(), answer
-            took.append((time.perf_counter() - began) * MS)
+            latencies_ms.append((time.perf_counter() - began) * MS_PER_S)
 
     began = time.perf_counter()
     await asyncio.gather(*[propose(commits // proposers) for _ in range(proposers)])
-    row(f"{metric}_per_s", len(took) / (time.perf_counter() - began), "1/s")
-    percentiles(f"{metric}_latency", took)
+    print_measurement(f"{metric}_per_s", len(latencies_ms) / (time.perf_counter() - began), "1/s")
+    print_percentiles(f"{metric}_latency", latencies_ms)
 
 
 async def measure_restart(folder: Path) -> None:
-    """Measure how long a host reads its disk after many changes."""
+    """Measure how long a host takes to recover its state from disk after many changes."""
     for changes in RESTART_CHANGES:
         for name, every in (("without_snapshots", changes + 1), ("with_snapshots", SNAPSHOT_EVERY)):
-            place = folder / f"restart-{changes}-{name}"
-            _write_changes(place, changes, every)
+            data_folder = folder / f"restart-{changes}-{name}"
+            _write_changes(data_folder, changes, every)
             began = time.perf_counter()
             machine = KeyMachine()
-            opened = open_storage(place).ok
+            opened = open_storage(data_folder).ok
             _replay(machine, opened.stored.snapshot, opened.stored.entries)
-            row(f"restart_{changes}_changes_{name}", (time.perf_counter() - began) * MS, "ms")
+            print_measurement(
+                f"restart_{changes}_changes_{name}", (time.perf_counter() - began) * MS_PER_S, "ms"
+            )
             opened.storage.close()
 
 
@@ -181,14 +187,14 @@
 
 
 async def measure_idle(folder: Path) -> None:
-    """Measure the processor time of groups that have nothing to do, all members together."""
+    """Measure the processor time of idle groups, summed over all members."""
     for size in IDLE_SIZES:
         async with group(folder / f"idle-{size}", size):
             await asyncio.sleep(1)
             began = time.process_time()
             await asyncio.sleep(IDLE_S)
-            cpu_ms = (time.process_time() - began) * MS
-        row(f"idle_cpu_{size}_members_together", cpu_ms / IDLE_S, "ms/s")
+            cpu_ms = (time.process_time() - began) * MS_PER_S
+        print_measurement(f"idle_cpu_{size}_members_together", cpu_ms / IDLE_S, "ms/s")
 
 
 SECTIONS: dict[str, Callable[[Path], Coroutine[Any, Any, None]]] = {
@@ -201,7 +207,7 @@
 
 
 def main(names: list[str]) -> None:
-    """Run the sections named, or all."""
+    """Run the named sections, or all."""
     configure("error")
     for name in names or list(SECTIONS):
         with tempfile.TemporaryDirectory(dir=Path.cwd()) as folder:
--- a/packages/agateferry-state/agateferry_state/replica/bench_transport.py
+++ b/packages/agateferry-state/agateferry_state/replica/bench_transport.py
@@ -1,4 +1,4 @@
-"""Measure what it costs to carry small messages, by streams and by unary calls."""
+"""Measure the cost of small messages in streams and in unary calls."""
 
 import asyncio
 import random
@@ -20,24 +20,24 @@
 MESSAGES_PER_S = 40
 MEASURED_S = 5.0
 METHOD = "/agateferry.state.Bench/Send"
-MS = 1000.0
+MS_PER_S = 1000.0
 HEARTBEAT = AppendRequest(3, 1_000, 3, 1_000, 77)
 
 
-def row(metric: str, value: float, unit: str) -> None:
-    """Print one figure."""
+def print_measurement(metric: str, value: float, unit: str) -> None:
+    """Print one measurement."""
     print(f"measure state {metric} {value:.3f} {unit}", flush=True)
 
 
-def percentiles(metric: str, values_ms: list[float]) -> None:
+def print_percentiles(metric: str, values_ms: list[float]) -> None:
     """Print the median and the 99th percentile."""
     ordered = sorted(values_ms)
-    row(f"{metric}_p50", ordered[len(ordered) // 2], "ms")
-    row(f"{metric}_p99", ordered[len(ordered) * 99 // 100], "ms")
+    print_measurement(f"{metric}_p50", ordered[len(ordered) // 2], "ms")
+    print_measurement(f"{metric}_p99", ordered[len(ordered) * 99 // 100], "ms")
 
 
 class CountingRelay:
-    """Pass bytes on to a port and count them in both directions."""
+    """Relay connections to a port and count the bytes in both directions."""
 
     def __init__(self, target: int) -> None:
         self.port = free_port()
@@ -64,8 +64,10 @@
 
 
 async def measure_transport(folder: Path) -> None:
-    """Measure heartbeats at a fixed pace; a figure holds the work of both ends."""
-    row("datagram_bytes_per_heartbeat", len(encode_envelope(_envelope()).SerializeToString()), "B")
+    """Measure heartbeats at a fixed rate; figures include the work of sender and receiver."""
+    print_measurement(
+        "datagram_bytes_per_heartbeat", len(encode_envelope(_envelope()).SerializeToString()), "B"
+    )
     await _measure_stream()
     await _measure_unary()
 
@@ -76,12 +78,12 @@
     receiver.register("cell:a", lambda envelope: None)
     server = (await start_server(f"127.0.0.1:{port}", receiver)).ok
     sender.set_address("b", f"127.0.0.1:{port}")
-    await _paced("stream", lambda: sender.send(_envelope()))
+    await _send_paced("stream", lambda: sender.send(_envelope()))
     relay = CountingRelay(port)
     relay_server = await relay.start()
     sender.set_address("b", f"127.0.0.1:{relay.port}")
-    await _paced("", lambda: sender.send(_envelope()))
-    row("stream_bytes_per_message", relay.bytes / (MESSAGES_PER_S * MEASURED_S), "B")
+    await _send_paced("", lambda: sender.send(_envelope()))
+    print_measurement("stream_bytes_per_message", relay.bytes / (MESSAGES_PER_S * MEASURED_S), "B")
     await sender.close()
     relay_server.close()
     await server.stop(None)
@@ -118,18 +120,18 @@
             tasks.add(task)
             task.add_done_callback(tasks.discard)
 
-        await _paced("unary", begin)
+        await _send_paced("unary", begin)
         await asyncio.gather(*tasks)
     await server.stop(None)
 
 
-async def _paced(metric: str, send: Callable[[], None]) -> None:
+async def _send_paced(metric: str, send: Callable[[], None]) -> None:
     send()
     await asyncio.sleep(0.5)
     began = time.process_time()
     for _ in range(int(MESSAGES_PER_S * MEASURED_S)):
         send()
         await asyncio.sleep(1 / MESSAGES_PER_S)
-    cpu_ms = (time.process_time() - began) * MS
+    cpu_ms = (time.process_time() - began) * MS_PER_S
     if metric:
-        row(f"{metric}_cpu_per_message", cpu_ms / (MESSAGES_PER_S * MEASURED_S), "ms")
+        print_measurement(f"{metric}_cpu_per_message", cpu_ms / (MESSAGES_PER_S * MEASURED_S), "ms")
--- a/packages/agateferry-state/agateferry_state/replica/codec.py
+++ b/packages/agateferry-state/agateferry_state/replica/codec.py
@@ -1,7 +1,7 @@
-"""The replication messages in protobuf form.
+"""Conversion of replication messages to and from protobuf.
 
-Fields that are plain numbers and flags have one name on both sides, so they are copied by the
-data class's own list of fields; entries, members and snapshots have a function each.
+Messages whose fields are only numbers and flags have the same field names in protobuf and are
+converted by `dataclasses.fields`. Entries, members and snapshots have a function each.
 """
 
 from dataclasses import dataclass, fields
@@ -25,13 +25,13 @@
 )
 from agateferry_state.rpc import replication_pb2 as pb
 
-ENTRY_KINDS = {EntryKind.COMMAND: 0, EntryKind.NOOP: 1, EntryKind.MEMBERS: 2}
-ENTRY_KINDS_BACK = {number: kind for kind, number in ENTRY_KINDS.items()}
+ENTRY_KIND_NUMBERS = {EntryKind.COMMAND: 0, EntryKind.NOOP: 1, EntryKind.MEMBERS: 2}
+ENTRY_KINDS_BY_NUMBER = {number: kind for kind, number in ENTRY_KIND_NUMBERS.items()}
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A message on its way from one member of a group to another."""
+    """A message from one member of a group to another."""
 
     group: str
     sender: MemberId
@@ -40,19 +40,19 @@
 
     @property
     def is_heartbeat(self) -> bool:
-        """Tell whether a newer message of the same sender makes this one superfluous."""
+        """Tell whether this is an append without entries, which a newer message supersedes."""
         return isinstance(self.message, AppendRequest) and not self.message.entries
 
     @property
     def is_bulk(self) -> bool:
-        """Tell whether the message carries a part of the log or of a snapshot."""
+        """Tell whether the message carries log entries or a snapshot chunk."""
         if isinstance(self.message, AppendRequest):
             return bool(self.message.entries)
         return isinstance(self.message, SnapshotChunk)
 
 
 def encode_envelope(envelope: Envelope) -> pb.Envelope:
-    """Return the protobuf form of an envelope."""
+    """Convert an envelope to protobuf."""
     name, encode = ENCODERS[type(envelope.message)]
     return pb.Envelope(
         group=envelope.group,
@@ -63,14 +63,14 @@
 
 
 def decode_envelope(wire: pb.Envelope) -> Envelope:
-    """Read an envelope; raises ValueError where this release cannot make sense of it."""
+    """Convert an envelope from protobuf; raises ValueError if a message or field is unknown."""
     name = wire.WhichOneof("message")
     if name is None:
-        raise ValueError("an envelope without a message that this release knows")
+        raise ValueError("envelope without a message type known to this release")
     try:
         message = DECODERS[name](getattr(wire, name))
     except (KeyError, TypeError) as exc:
-        raise ValueError(f"a {name} with a field that this release does not know") from exc
+        raise ValueError(f"{name} has a field value unknown to this release") from exc
     return Envelope(wire.group, _decode_id(wire.sender), _decode_id(wire.recipient), message)
 
 
@@ -91,12 +91,12 @@
 
 
 def _encode_entry(entry: LogEntry) -> pb.LogEntry:
-    kind = pb.EntryKind.ValueType(ENTRY_KINDS[entry.kind])
+    kind = pb.EntryKind.ValueType(ENTRY_KIND_NUMBERS[entry.kind])
     return pb.LogEntry(index=entry.index, term=entry.term, kind=kind, data=entry.data)
 
 
 def _decode_entry(wire: pb.LogEntry) -> LogEntry:
-    return LogEntry(wire.index, wire.term, ENTRY_KINDS_BACK[wire.kind], wire.data)
+    return LogEntry(wire.index, wire.term, ENTRY_KINDS_BY_NUMBER[wire.kind], wire.data)
 
 
 def _encode_meta(meta: SnapshotMeta) -> pb.SnapshotMeta:
@@ -114,13 +114,13 @@
     return SnapshotMeta(wire.index, wire.term, members, wire.size, wire.checksum)
 
 
-def _plain(wire_type: Any) -> Any:
+def _encode_fields(wire_type: Any) -> Any:
     return lambda message: wire_type(
         **{field.name: getattr(message, field.name) for field in fields(message)}
     )
 
 
-def _plain_back(message_type: Any) -> Any:
+def _decode_fields(message_type: Any) -> Any:
     names = [field.name for field in fields(message_type)]
     return lambda wire: message_type(**{name: getattr(wire, name) for name in names})
 
@@ -171,25 +171,25 @@
 
 
 ENCODERS: dict[type, tuple[str, Any]] = {
-    VoteRequest: ("vote_request", _plain(pb.VoteRequest)),
-    VoteResponse: ("vote_response", _plain(pb.VoteResponse)),
+    VoteRequest: ("vote_request", _encode_fields(pb.VoteRequest)),
+    VoteResponse: ("vote_response", _encode_fields(pb.VoteResponse)),
     AppendRequest: ("append_request", _encode_append),
-    AppendResponse: ("append_response", _plain(pb.AppendResponse)),
+    AppendResponse: ("append_response", _encode_fields(pb.AppendResponse)),
     SnapshotChunk: ("snapshot_chunk", _encode_chunk),
-    SnapshotResponse: ("snapshot_response", _plain(pb.SnapshotResponse)),
-    TimeoutNow: ("timeout_now", _plain(pb.TimeoutNow)),
+    SnapshotResponse: ("snapshot_response", _encode_fields(pb.SnapshotResponse)),
+    TimeoutNow: ("timeout_now", _encode_fields(pb.TimeoutNow)),
     Greeting: ("greeting", _encode_greeting),
-    GreetingRequest: ("greeting_request", _plain(pb.GreetingRequest)),
+    GreetingRequest: ("greeting_request", _encode_fields(pb.GreetingRequest)),
 }
 
 DECODERS: dict[str, Any] = {
-    "vote_request": _plain_back(VoteRequest),
-    "vote_response": _plain_back(VoteResponse),
+    "vote_request": _decode_fields(VoteRequest),
+    "vote_response": _decode_fields(VoteResponse),
     "append_request": _decode_append,
-    "append_response": _plain_back(AppendResponse),
+    "append_response": _decode_fields(AppendResponse),
     "snapshot_chunk": _decode_chunk,
-    "snapshot_response": _plain_back(SnapshotResponse),
-    "timeout_now": _plain_back(TimeoutNow),
+    "snapshot_response": _decode_fields(SnapshotResponse),
+    "timeout_now": _decode_fields(TimeoutNow),
     "greeting": _decode_greeting,
-    "greeting_request": _plain_back(GreetingRequest),
+    "greeting_request": _decode_fields(GreetingRequest),
 }
--- a/packages/agateferry-state/agateferry_state/replica/datagrams.py
+++ b/packages/agateferry-state/agateferry_state/replica/datagrams.py
@@ -1,10 +1,10 @@
-"""Small messages as datagrams, where datagrams are known to pass in both directions.
+"""UDP datagrams for small messages, used alone while they arrive in both directions.
 
-A heartbeat and its answer cost several times less processor time as datagrams than in a stream,
-and their order does not matter while nothing else is under way. Each datagram says whether the
-sender has lately heard datagrams of the recipient. As long as both ends hear each other, small
-messages go as datagrams alone; otherwise they go in the stream as well, so that a network that
-drops datagrams, in one direction or both, costs two heartbeats at most.
+A heartbeat and its reply take several times less processor time as datagrams than in a stream, and
+their order does not matter while no entries are in transit. Each datagram tells whether the sender
+has recently received datagrams from the recipient. While both hosts receive each other's
+datagrams, small messages are sent only as datagrams, else in the stream as well. So a network that
+drops datagrams in one or both directions loses at most two heartbeats.
 """
 
 import asyncio
@@ -17,28 +17,28 @@
 
 MAX_DATAGRAM_BYTES = 1200
 MAX_READS_PER_TURN = 64
-FRESH_MS = 450
+DATAGRAM_PATH_VALID_MS = 450
 
 
 class DatagramSocket:
     """Send and receive datagrams on one UDP port."""
 
     def __init__(self, address: str, receive: Callable[[bytes], None]) -> None:
-        """Bind to `ip:port`; raises OSError where that fails."""
+        """Bind to `ip:port`; raises OSError if that fails."""
         self._receive = receive
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
         try:
-            self._socket.bind(_split(address))
+            self._socket.bind(_parse_address(address))
         except OSError:
             self._socket.close()
             raise
         asyncio.get_running_loop().add_reader(self._socket, self._read)
 
     def send(self, address: str, data: bytes) -> None:
-        """Send a datagram, or count it as dropped where the system does not take it."""
+        """Send a datagram, or count it as dropped if the operating system refuses it."""
         try:
-            self._socket.sendto(data, _split(address))
+            self._socket.sendto(data, _parse_address(address))
         except OSError:
             MESSAGES_DROPPED.labels("datagram-refused").inc()
 
@@ -48,39 +48,39 @@
         self._socket.close()
 
     def _read(self) -> None:
-        """Take in what waits; a peer without such a port is reported as an OSError and ignored."""
+        """Read waiting datagrams; ignore the OSError that a peer with a closed port causes."""
         with contextlib.suppress(OSError):
             for _ in range(MAX_READS_PER_TURN):
                 self._receive(self._socket.recv(MAX_DATAGRAM_BYTES))
 
 
-class DatagramPaths:
-    """Remember from which hosts datagrams come, and which of them hear ours."""
+class DatagramReachability:
+    """Track which hosts' datagrams arrive here, and which hosts receive those from here."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._heard_ms: dict[str, int] = {}
-        self._two_way_ms: dict[str, int] = {}
+        self._last_received_ms: dict[str, int] = {}
+        self._last_bidirectional_ms: dict[str, int] = {}
 
-    def note(self, host: str, hears_us: bool) -> None:
-        """Note a datagram from a host and what it said of ours."""
+    def record_received(self, host: str, peer_receives_ours: bool) -> None:
+        """Record a datagram from a host, and whether that host receives datagrams from here."""
         now_ms = self._clock.now_ms()
-        self._heard_ms[host] = now_ms
-        if hears_us:
-            self._two_way_ms[host] = now_ms
+        self._last_received_ms[host] = now_ms
+        if peer_receives_ours:
+            self._last_bidirectional_ms[host] = now_ms
 
-    def hears(self, host: str) -> bool:
-        """Tell whether datagrams of this host came lately."""
-        return self._is_fresh(self._heard_ms.get(host))
+    def receives_from(self, host: str) -> bool:
+        """Tell whether a datagram from this host arrived recently."""
+        return self._is_recent(self._last_received_ms.get(host))
 
-    def is_two_way(self, host: str) -> bool:
-        """Tell whether datagrams passed in both directions lately."""
-        return self._is_fresh(self._two_way_ms.get(host))
+    def is_bidirectional(self, host: str) -> bool:
+        """Tell whether datagrams recently passed in both directions."""
+        return self._is_recent(self._last_bidirectional_ms.get(host))
 
-    def _is_fresh(self, at_ms: int | None) -> bool:
-        return at_ms is not None and self._clock.now_ms() - at_ms <= FRESH_MS
+    def _is_recent(self, at_ms: int | None) -> bool:
+        return at_ms is not None and self._clock.now_ms() - at_ms <= DATAGRAM_PATH_VALID_MS
 
 
-def _split(address: str) -> tuple[str, int]:
+def _parse_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/packages/agateferry-state/agateferry_state/replica/link.py
+++ b/packages/agateferry-state/agateferry_state/replica/link.py
@@ -1,10 +1,9 @@
-"""The way to one peer: a long-lived stream that is replaced when it goes silent.
+"""A long-lived stream to one peer, replaced by a new one when it stalls.
 
-A connection can go silent for good while new ones work. gRPC's own keepalive finds that out too
-late for a replicated log, as it sends no ping in the first ten seconds. So now and then a batch
-asks for a receipt, and where none comes in time, or a write is not taken in that time, the stream
-is given up, a fresh channel opened after a backoff, and the old one never used again. An idle
-stream asks for nothing.
+A connection can stall for good while new connections work. gRPC's keepalive detects that too late
+for a replicated log, as it sends no ping in the first ten seconds. So a batch asks for a receipt
+at intervals. If the receipt or a write takes longer than a timeout, the stream and its channel are
+closed, and a new channel is opened after a backoff. An idle stream asks for no receipts.
 """
 
 import asyncio
@@ -31,49 +30,51 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkSettings:
-    """The bounds of a stream, in milliseconds.
+    """The time limits of a stream, in milliseconds.
 
-    While there is something to send, a silent connection is found out within `receipt_every_ms`
-    plus `silence_ms`.
+    While there are messages to send, a stalled connection is detected within
+    `receipt_interval_ms` plus `stall_timeout_ms`.
     """
 
-    receipt_every_ms: int = 500
-    silence_ms: int = 1000
+    receipt_interval_ms: int = 500
+    stall_timeout_ms: int = 1000
     backoff_min_ms: int = 50
     backoff_max_ms: int = 1000
 
     def channel_options(self) -> list[tuple[str, int]]:
-        """Return the options of a channel that shares no connection with any other."""
+        """Return the options of a channel with a connection of its own."""
         return [
-            ("grpc.min_reconnect_backoff_ms", self.silence_ms),
+            ("grpc.min_reconnect_backoff_ms", self.stall_timeout_ms),
             ("grpc.use_local_subchannel_pool", 1),
             ("grpc.enable_http_proxy", 0),
             ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
         ]
 
 
-class Receipts:
-    """Ask for a receipt now and then, and give the call up where one does not come."""
+class ReceiptMonitor:
+    """Ask for receipts at intervals, and cancel the call if one is overdue."""
 
     def __init__(self, call: aio.StreamStreamCall, settings: LinkSettings) -> None:
         self._call = call
         self._settings = settings
         self._loop = asyncio.get_running_loop()
-        self._asked_at = -math.inf
+        self._requested_at_s = -math.inf
         self._timer: asyncio.TimerHandle | None = None
         self.is_overdue = False
         self.task = self._loop.create_task(self._read())
 
-    def ask(self) -> bool:
-        """Tell whether the next batch should ask for a receipt, and watch for it if so."""
+    def request_if_due(self) -> bool:
+        """Tell whether the next batch should ask for a receipt; if so, start its timeout."""
         now = self._loop.time()
         if (
             self._timer is not None
-            or now - self._asked_at < self._settings.receipt_every_ms / MS_PER_S
+            or now - self._requested_at_s < self._settings.receipt_interval_ms / MS_PER_S
         ):
             return False
-        self._asked_at = now
-        self._timer = self._loop.call_later(self._settings.silence_ms / MS_PER_S, self._give_up)
+        self._requested_at_s = now
+        self._timer = self._loop.call_later(
+            self._settings.stall_timeout_ms / MS_PER_S, self._cancel_call
+        )
         return True
 
     def close(self) -> None:
@@ -86,7 +87,7 @@
             async for _ in self._call:
                 self._stop_timer()
 
-    def _give_up(self) -> None:
+    def _cancel_call(self) -> None:
         self.is_overdue = True
         self._call.cancel()
 
@@ -97,7 +98,7 @@
 
 
 class PeerLink:
-    """Send the messages of an outbox to one address for as long as the link is open."""
+    """Send the messages of an outbox to one address, reconnecting until closed."""
 
     def __init__(self, host: str, address: str, settings: LinkSettings, rng: random.Random) -> None:
         self.address = address
@@ -106,11 +107,11 @@
         self._rng = rng
         self._log = EventLogger(host=host, address=address)
         self._backoff_ms = settings.backoff_min_ms
-        self._is_lost = False
+        self._is_connection_lost = False
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def close(self) -> None:
-        """Drop what waits and close the connection."""
+        """Drop queued messages and close the connection."""
         self._task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self._task
@@ -120,17 +121,17 @@
             await self.outbox.wait()
             reason = await self._exchange()
             RECONNECTS.labels(reason).inc()
-            if not self._is_lost:
+            if not self._is_connection_lost:
                 self._log.warning(PEER_CONNECTION_LOST, reason=reason)
-            self._is_lost = True
+            self._is_connection_lost = True
             self.outbox.clear("connection-lost")
             await asyncio.sleep(self._next_backoff_ms() / MS_PER_S)
 
     async def _exchange(self) -> str:
-        """Send over a fresh channel until it breaks; return why it did."""
+        """Send over a new channel until the stream breaks; return the reason."""
         channel = aio.insecure_channel(self.address, self._settings.channel_options())
         call = rpc.ReplicationStub(channel).Exchange()
-        receipts = Receipts(call, self._settings)
+        receipts = ReceiptMonitor(call, self._settings)
         reason = "closed"
         try:
             await self._send_all(call, receipts)
@@ -148,7 +149,7 @@
             await channel.close(None)
         return "silent" if receipts.is_overdue else reason
 
-    async def _send_all(self, call: aio.StreamStreamCall, receipts: Receipts) -> None:
+    async def _send_all(self, call: aio.StreamStreamCall, receipts: ReceiptMonitor) -> None:
         call.add_done_callback(lambda _: self.outbox.wake())
         while not call.done():
             await self.outbox.wait()
@@ -157,28 +158,28 @@
                 continue
             batch = pb.Envelopes(
                 envelopes=[encode_envelope(each) for each in envelopes],
-                wants_receipt=receipts.ask(),
+                wants_receipt=receipts.request_if_due(),
             )
-            async with asyncio.timeout(self._settings.silence_ms / MS_PER_S):
+            async with asyncio.timeout(self._settings.stall_timeout_ms / MS_PER_S):
                 await call.write(batch)
             count_sent(batch.ByteSize())
-            self._note_sent()
+            self._mark_connected()
 
-    def _note_sent(self) -> None:
+    def _mark_connected(self) -> None:
         self._backoff_ms = self._settings.backoff_min_ms
-        if self._is_lost:
+        if self._is_connection_lost:
             self._log.info(PEER_CONNECTED)
-            self._is_lost = False
+            self._is_connection_lost = False
 
     def _next_backoff_ms(self) -> int:
-        """Return a random share of a bound that doubles with each failure."""
-        bound = self._backoff_ms
-        self._backoff_ms = min(bound * 2, self._settings.backoff_max_ms)
-        return self._rng.randint(bound // 2, bound)
+        """Return a random delay from half of a limit to all; the limit doubles each time."""
+        limit_ms = self._backoff_ms
+        self._backoff_ms = min(limit_ms * 2, self._settings.backoff_max_ms)
+        return self._rng.randint(limit_ms // 2, limit_ms)
 
 
 def server_options() -> list[tuple[str, int]]:
-    """Return the options of a server that takes such links; dead ones are dropped in time."""
+    """Return the options of a server for such streams; keepalive closes dead connections."""
     return [
         ("grpc.so_reuseport", 0),
         ("grpc.keepalive_time_ms", SERVER_KEEPALIVE_MS),
--- a/packages/agateferry-state/agateferry_state/replica/outbox.py
+++ b/packages/agateferry-state/agateferry_state/replica/outbox.py
@@ -1,4 +1,4 @@
-"""The messages that wait for one peer."""
+"""The queue of messages to one peer."""
 
 import asyncio
 from collections import deque
@@ -9,13 +9,14 @@
 
 MAX_ENVELOPES = 1024
 MAX_BYTES = 8 * 1024 * 1024
-ENVELOPE_BYTES = 100
+ENVELOPE_OVERHEAD_BYTES = 100
 
 
 class Outbox:
-    """Hold a bounded number of messages; when full, drop the oldest heartbeats first.
+    """Queue messages up to a limit of count and bytes; when full, drop the oldest heartbeat first.
 
-    Members repeat what was lost, so dropping costs time and nothing else.
+    Without a heartbeat in the queue, the oldest message is dropped. The replication protocol
+    resends lost messages, so a drop costs only time.
     """
 
     def __init__(self, max_envelopes: int = MAX_ENVELOPES, max_bytes: int = MAX_BYTES) -> None:
@@ -26,25 +27,25 @@
         self._signal = asyncio.Event()
 
     def __len__(self) -> int:
-        """Return how many messages wait."""
+        """Return the number of queued messages."""
         return len(self._waiting)
 
     def put(self, envelope: Envelope) -> None:
-        """Add a message, dropping older ones where there is no room."""
+        """Add a message, dropping older ones while the queue is over a limit."""
         self._waiting.append(envelope)
-        self._bytes += size_of(envelope)
-        while len(self._waiting) > 1 and self._is_over():
+        self._bytes += estimated_bytes(envelope)
+        while len(self._waiting) > 1 and self._is_over_limit():
             self._drop_one()
         self._signal.set()
 
     def take(self, max_bytes: int) -> list[Envelope]:
-        """Remove and return the oldest messages, at least one where there is one."""
+        """Remove and return the oldest messages up to `max_bytes`, but at least one if any."""
         taken: list[Envelope] = []
-        room = max_bytes
-        while self._waiting and (not taken or size_of(self._waiting[0]) <= room):
+        remaining_bytes = max_bytes
+        while self._waiting and (not taken or estimated_bytes(self._waiting[0]) <= remaining_bytes):
             envelope = self._waiting.popleft()
-            room -= size_of(envelope)
-            self._bytes -= size_of(envelope)
+            remaining_bytes -= estimated_bytes(envelope)
+            self._bytes -= estimated_bytes(envelope)
             taken.append(envelope)
         if not self._waiting:
             self._signal.clear()
@@ -58,29 +59,29 @@
         self._signal.clear()
 
     def wake(self) -> None:
-        """Make `wait` return although nothing was added."""
+        """Make `wait` return even if no message was added."""
         self._signal.set()
 
     async def wait(self) -> None:
-        """Return once there is a message, or after `wake`."""
+        """Wait for a message or for `wake`."""
         await self._signal.wait()
 
-    def _is_over(self) -> bool:
+    def _is_over_limit(self) -> bool:
         return len(self._waiting) > self._max_envelopes or self._bytes > self._max_bytes
 
     def _drop_one(self) -> None:
         older = (envelope for envelope in self._waiting if envelope.is_heartbeat)
         dropped = next(older, self._waiting[0])
         self._waiting.remove(dropped)
-        self._bytes -= size_of(dropped)
+        self._bytes -= estimated_bytes(dropped)
         MESSAGES_DROPPED.labels("queue-full").inc()
 
 
-def size_of(envelope: Envelope) -> int:
-    """Return about how many bytes a message takes."""
+def estimated_bytes(envelope: Envelope) -> int:
+    """Estimate the encoded size of a message in bytes."""
     message = envelope.message
     if isinstance(message, AppendRequest):
-        return ENVELOPE_BYTES + sum(len(entry.data) for entry in message.entries)
+        return ENVELOPE_OVERHEAD_BYTES + sum(len(entry.data) for entry in message.entries)
     if isinstance(message, SnapshotChunk):
-        return ENVELOPE_BYTES + len(message.data)
-    return ENVELOPE_BYTES
+        return ENVELOPE_OVERHEAD_BYTES + len(message.data)
+    return ENVELOPE_OVERHEAD_BYTES
--- a/packages/agateferry-state/agateferry_state/replica/tests/test_codec.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/test_codec.py
@@ -35,14 +35,14 @@
 
 
 class CodecTests(testtools.TestCase):
-    def test_every_message_survives_the_wire(self):
+    def test_every_message_round_trips(self):
         self.assertEqual(set(ENCODERS), {type(message) for message in MESSAGES})
         for message in MESSAGES:
             envelope = Envelope("records", MemberId("a", "1"), MemberId("b"), message)
             wire = pb.Envelope.FromString(encode_envelope(envelope).SerializeToString())
             self.assertEqual(envelope, decode_envelope(wire))
 
-    def test_an_unknown_message_is_refused(self):
+    def test_an_unknown_message_is_rejected(self):
         with testtools.ExpectedException(ValueError):
             decode_envelope(pb.Envelope(group="records"))
 
--- a/packages/agateferry-state/agateferry_state/replica/tests/test_outbox.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/test_outbox.py
@@ -26,14 +26,14 @@
             outbox.put(each)
         self.assertEqual(others, outbox.take(10_000))
 
-    def test_without_heartbeats_the_oldest_goes(self):
+    def test_without_heartbeats_the_oldest_message_is_dropped(self):
         outbox = Outbox(max_envelopes=2)
         others = [envelope(TimeoutNow(term)) for term in range(3)]
         for each in others:
             outbox.put(each)
         self.assertEqual(others[1:], outbox.take(10_000))
 
-    def test_is_bounded_by_bytes_but_keeps_one(self):
+    def test_the_byte_limit_keeps_at_least_one_message(self):
         entry = LogEntry(1, 1, EntryKind.COMMAND, b"x" * 5000)
         large = envelope(AppendRequest(1, 0, 0, 0, 1, (entry,)))
         outbox = Outbox(max_bytes=1000)
--- a/packages/agateferry-state/agateferry_state/replica/tests/test_transport.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/test_transport.py
@@ -19,7 +19,7 @@
     TimeoutNow,
 )
 
-FAST = LinkSettings(receipt_every_ms=100, silence_ms=200, backoff_max_ms=100)
+FAST = LinkSettings(receipt_interval_ms=100, stall_timeout_ms=200, backoff_max_ms=100)
 
 
 def envelope(term, host="b", group="cell"):
@@ -27,7 +27,7 @@
 
 
 class Relay:
-    """Pass bytes between two ports; connections that are open at `freeze` go silent for good."""
+    """Relay bytes between two ports; connections open at `freeze` pass no more bytes."""
 
     def __init__(self, target_port):
         self.port = free_port()
@@ -65,7 +65,7 @@
 
 
 class Inbox:
-    """Collect the terms that arrived and wait for one."""
+    """Collect the terms of received messages."""
 
     def __init__(self):
         self.terms = []
@@ -120,7 +120,7 @@
 
         run_async(main())
 
-    def test_other_groups_and_unknown_hosts_are_left_alone(self):
+    def test_other_groups_and_unknown_hosts_receive_nothing(self):
         async def main():
             port = free_port()
             async with self.receiver(port) as inbox, self.sender(port) as transport:
@@ -132,7 +132,7 @@
 
         run_async(main())
 
-    def test_a_host_that_comes_back_is_reached_again(self):
+    def test_a_restarted_host_is_reconnected(self):
         async def main():
             port = free_port()
             async with self.sender(port) as transport:
@@ -143,7 +143,7 @@
 
         run_async(main())
 
-    def test_a_connection_gone_silent_is_replaced(self):
+    def test_a_stalled_connection_is_replaced(self):
         async def main():
             port = free_port()
             relay = Relay(port)
@@ -157,7 +157,7 @@
 
         run_async(main())
 
-    def test_an_address_in_use_is_an_outcome(self):
+    def test_an_address_in_use_is_returned_as_an_error(self):
         async def main():
             port = free_port()
             async with self.receiver(port):
@@ -168,8 +168,8 @@
         run_async(main())
 
 
-class Recorder:
-    """Stand for a transport's socket or stream and remember what goes through it."""
+class CallCounter:
+    """Count the messages passed to a socket or stream."""
 
     def __init__(self):
         self.count = 0
@@ -183,7 +183,7 @@
         super().setUp()
         self.clock = ManualClock()
         self.transport = GrpcTransport({"b": "127.0.0.1:9"}, random.Random(1), clock=self.clock)
-        self.by_datagram, self.by_stream = Recorder(), Recorder()
+        self.by_datagram, self.by_stream = CallCounter(), CallCounter()
         self.transport._datagrams = SimpleNamespace(send=self.by_datagram)
         outbox = SimpleNamespace(put=self.by_stream)
         self.transport._links["b"] = SimpleNamespace(outbox=outbox)
@@ -193,37 +193,37 @@
         self.transport.send(Envelope("cell", MemberId("a"), MemberId("b"), message))
         return self.by_datagram.count - before[0], self.by_stream.count - before[1]
 
-    def hear(self, hears_us):
-        self.transport._paths.note("b", hears_us)
+    def record_datagram(self, peer_receives_ours):
+        self.transport._datagram_reachability.record_received("b", peer_receives_ours)
 
-    def test_goes_both_ways_until_both_ends_hear_each_other(self):
+    def test_heartbeats_use_the_stream_too_until_datagrams_pass_both_ways(self):
         heartbeat = AppendRequest(1, 0, 0, 0, 1)
         self.assertEqual((1, 1), self.sent(heartbeat))
-        self.hear(hears_us=False)
+        self.record_datagram(peer_receives_ours=False)
         self.assertEqual((1, 1), self.sent(heartbeat))
-        self.hear(hears_us=True)
+        self.record_datagram(peer_receives_ours=True)
         self.assertEqual((1, 0), self.sent(heartbeat))
         self.clock.advance(451)
         self.assertEqual((1, 1), self.sent(heartbeat))
 
     def test_a_heartbeat_does_not_overtake_entries(self):
-        self.hear(hears_us=True)
+        self.record_datagram(peer_receives_ours=True)
         entry = LogEntry(1, 1, EntryKind.NOOP)
         self.assertEqual((0, 1), self.sent(AppendRequest(1, 0, 0, 0, 1, (entry,))))
         self.assertEqual((0, 1), self.sent(AppendRequest(1, 1, 1, 0, 2)))
         self.clock.advance(501)
-        self.hear(hears_us=True)
+        self.record_datagram(peer_receives_ours=True)
         self.assertEqual((1, 0), self.sent(AppendRequest(1, 1, 1, 0, 3)))
 
-    def test_votes_go_in_the_stream(self):
-        self.hear(hears_us=True)
+    def test_only_heartbeats_and_append_responses_use_datagrams(self):
+        self.record_datagram(peer_receives_ours=True)
         self.assertEqual((0, 1), self.sent(TimeoutNow(1)))
         self.assertEqual((1, 0), self.sent(AppendResponse(1, 1, True)))
 
-    def test_rubbish_is_dropped(self):
-        self.transport._take_datagram(b"\xff\xff\xff")
+    def test_an_invalid_datagram_is_dropped(self):
+        self.transport._receive_datagram(b"\xff\xff\xff")
 
-    def test_a_port_in_use_leaves_the_streams(self):
+    def test_a_udp_port_in_use_disables_datagrams(self):
         async def main():
             address = f"127.0.0.1:{free_port()}"
             first, second = (GrpcTransport({}, random.Random(1)) for _ in range(2))
@@ -243,7 +243,7 @@
                 transport.open_datagrams(f"127.0.0.1:{port}")
                 transport.register("cell", lambda got: inbox.receive(got))
             transports[0].set_address("b", f"127.0.0.1:{ports[1]}")
-            transports[0]._paths.note("b", True)
+            transports[0]._datagram_reachability.record_received("b", True)
             transports[0].send(envelope_of(AppendResponse(7, 1, True)))
             await inbox.wait_for(7)
             for transport in transports:
--- a/packages/agateferry-state/agateferry_state/replica/transport.py
+++ b/packages/agateferry-state/agateferry_state/replica/transport.py
@@ -1,7 +1,7 @@
-"""How messages get from one host to another.
+"""Transport of replication messages between hosts.
 
-One transport serves all groups of a host: the zone's cell and the records plane share it. It
-promises nothing but that a message that arrives is whole; members repeat what was lost.
+One transport serves all groups of a host: the zone's cell and the records plane share it. Messages
+may be lost or reordered, but are never truncated; the replication protocol resends lost ones.
 """
 
 import random
@@ -16,7 +16,7 @@
 from agateferry_core.logs import EventLogger
 from agateferry_state.events import DATAGRAMS_UNUSED, ENVELOPE_REFUSED
 from agateferry_state.replica.codec import Envelope, decode_envelope, encode_envelope
-from agateferry_state.replica.datagrams import DatagramPaths, DatagramSocket
+from agateferry_state.replica.datagrams import DatagramReachability, DatagramSocket
 from agateferry_state.replica.link import LinkSettings, PeerLink, server_options
 from agateferry_state.replica.metrics import (
     MESSAGES_DROPPED,
@@ -28,28 +28,28 @@
 from agateferry_state.rpc import replication_pb2 as pb
 from agateferry_state.rpc import replication_pb2_grpc as rpc
 
-BULK_QUIET_MS = 500
-Receive = Callable[[Envelope], None]
+STREAM_ONLY_AFTER_BULK_MS = 500
+EnvelopeHandler = Callable[[Envelope], None]
 
 
 class Transport(Protocol):
-    """Carry envelopes between the hosts that take part in a group."""
+    """Carry envelopes between the hosts of groups."""
 
-    def register(self, group: str, receive: Receive) -> None:
-        """Have the envelopes of a group handed to `receive`."""
+    def register(self, group: str, receive: EnvelopeHandler) -> None:
+        """Pass arriving envelopes of a group to `receive`."""
 
     def unregister(self, group: str) -> None:
-        """Drop the envelopes of a group from now on."""
+        """Drop arriving envelopes of a group from now on."""
 
     def set_address(self, host: str, address: str) -> None:
-        """Say by which `ip:port` a host is reached."""
+        """Set the `ip:port` of a host."""
 
     def send(self, envelope: Envelope) -> None:
-        """Send to the recipient's host if it can be reached; never waits, never fails."""
+        """Send to the recipient's host if possible; never blocks and never raises."""
 
 
 class GrpcTransport(rpc.ReplicationServicer):
-    """Carry envelopes in one gRPC stream to each other host, and small ones as datagrams.
+    """Carry envelopes in one gRPC stream to each host, and small ones as datagrams.
 
     For example `transport = GrpcTransport({"b": "10.0.0.2:7400"}, rng)`, then
     `await start_server("10.0.0.1:7400", transport)`.
@@ -65,32 +65,32 @@
         self._addresses = dict(addresses)
         self._rng = rng
         self._settings = settings or LinkSettings()
-        self._receivers: dict[str, Receive] = {}
+        self._receivers: dict[str, EnvelopeHandler] = {}
         self._links: dict[str, PeerLink] = {}
         self._retired: list[PeerLink] = []
         self._clock = clock or SystemClock()
-        self._paths = DatagramPaths(self._clock)
+        self._datagram_reachability = DatagramReachability(self._clock)
         self._datagrams: DatagramSocket | None = None
-        self._bulk_ms: dict[str, int] = {}
+        self._last_bulk_ms: dict[str, int] = {}
         self._log = EventLogger()
 
-    def register(self, group: str, receive: Receive) -> None:
-        """Have the envelopes of a group handed to `receive`."""
+    def register(self, group: str, receive: EnvelopeHandler) -> None:
+        """Pass arriving envelopes of a group to `receive`."""
         self._receivers[group] = receive
 
     def unregister(self, group: str) -> None:
-        """Drop the envelopes of a group from now on."""
+        """Drop arriving envelopes of a group from now on."""
         self._receivers.pop(group, None)
 
     def set_address(self, host: str, address: str) -> None:
-        """Say by which `ip:port` a host is reached; an open link elsewhere is given up."""
+        """Set the `ip:port` of a host; messages stop using an open link to an older address."""
         self._addresses[host] = address
         link = self._links.get(host)
         if link is not None and link.address != address:
             self._retired.append(self._links.pop(host))
 
     def send(self, envelope: Envelope) -> None:
-        """Send to the recipient's host if it can be reached; never waits, never fails."""
+        """Send to the recipient's host if possible; never blocks and never raises."""
         if self._send_datagram(envelope):
             return
         link = self._link_to(envelope.recipient.host)
@@ -100,14 +100,14 @@
         link.outbox.put(envelope)
 
     def open_datagrams(self, address: str) -> None:
-        """Use datagrams too, on the UDP port of the server's number, where it can be bound."""
+        """Use datagrams too, on the UDP port with the server's port number if it can be bound."""
         try:
-            self._datagrams = DatagramSocket(address, self._take_datagram)
+            self._datagrams = DatagramSocket(address, self._receive_datagram)
         except OSError as exc:
             self._log.warning(DATAGRAMS_UNUSED, address=address, detail=str(exc))
 
     def add_to(self, server: aio.Server) -> None:
-        """Take in the envelopes that arrive at a server, which has not been started."""
+        """Add the service that receives envelopes to a server that is not started yet."""
         rpc.add_ReplicationServicer_to_server(self, server)
 
     async def close(self) -> None:
@@ -123,11 +123,11 @@
     async def Exchange(  # noqa: N802
         self, request_iterator: AsyncIterator[pb.Envelopes], context: aio.ServicerContext
     ) -> None:
-        """Take in the envelopes of one stream from another host."""
+        """Receive the envelopes of one stream from another host."""
         async for batch in request_iterator:
             count_received(batch.ByteSize())
             for wire in batch.envelopes:
-                self._take_in(wire)
+                self._dispatch(wire)
             if batch.wants_receipt:
                 await context.write(pb.Received())
 
@@ -139,40 +139,42 @@
         return link
 
     def _send_datagram(self, envelope: Envelope) -> bool:
-        """Send a small message as a datagram; tell whether it needs no stream besides."""
+        """Send a small message as a datagram; return True if it need not be sent by stream too."""
         host = envelope.recipient.host
         if envelope.is_bulk:
-            self._bulk_ms[host] = self._clock.now_ms()
-        if self._datagrams is None or not self._is_for_datagram(envelope):
+            self._last_bulk_ms[host] = self._clock.now_ms()
+        if self._datagrams is None or not self._may_use_datagram(envelope):
             return False
         address = self._addresses.get(host)
         if not address:
             return False
         wire = encode_envelope(envelope)
-        wire.hears_datagrams = self._paths.hears(host)
+        wire.hears_datagrams = self._datagram_reachability.receives_from(host)
         data = wire.SerializeToString()
         count_sent(len(data))
         self._datagrams.send(address, data)
-        return self._paths.is_two_way(host)
+        return self._datagram_reachability.is_bidirectional(host)
 
-    def _is_for_datagram(self, envelope: Envelope) -> bool:
-        """Tell whether a message may overtake those in the stream."""
+    def _may_use_datagram(self, envelope: Envelope) -> bool:
+        """Tell whether a message is small and may arrive before earlier ones in the stream."""
         if not envelope.is_heartbeat:
             return isinstance(envelope.message, AppendResponse)
-        bulk_ms = self._bulk_ms.get(envelope.recipient.host)
-        return bulk_ms is None or self._clock.now_ms() - bulk_ms > BULK_QUIET_MS
+        last_bulk_ms = self._last_bulk_ms.get(envelope.recipient.host)
+        return (
+            last_bulk_ms is None or self._clock.now_ms() - last_bulk_ms > STREAM_ONLY_AFTER_BULK_MS
+        )
 
-    def _take_datagram(self, data: bytes) -> None:
+    def _receive_datagram(self, data: bytes) -> None:
         count_received(len(data))
         try:
             wire = pb.Envelope.FromString(data)
         except DecodeError:
             MESSAGES_REFUSED.labels("not-understood").inc()
             return
-        self._paths.note(wire.sender.host, wire.hears_datagrams)
-        self._take_in(wire)
+        self._datagram_reachability.record_received(wire.sender.host, wire.hears_datagrams)
+        self._dispatch(wire)
 
-    def _take_in(self, wire: pb.Envelope) -> None:
+    def _dispatch(self, wire: pb.Envelope) -> None:
         receive = self._receivers.get(wire.group)
         if receive is None:
             MESSAGES_REFUSED.labels("no-such-group").inc()
@@ -187,9 +189,9 @@
 
 
 async def start_server(address: str, transport: GrpcTransport) -> Result[aio.Server, str]:
-    """Listen on `ip:port` for the envelopes of other hosts; the error tells why it cannot.
+    """Start a server for envelopes on `ip:port`; the error is why the port cannot be bound.
 
-    The server must be stopped before the loop ends, or the process does not exit.
+    Stop the server before the event loop ends, else the process does not exit.
     """
     server = aio.server(options=server_options())
     transport.add_to(server)
