--- a/packages/agateferry-state/agateferry_state/events.py
+++ b/packages/agateferry-state/agateferry_state/events.py
@@ -4,43 +4,58 @@
 
 STORAGE_FAILED = Event(
     2001,
-    "the data folder refused a write",
-    "Free space or replace the disk, then restart the daemon; it takes no part until then.",
+    "writing to the data folder failed",
+    "Free space or replace the disk, then restart the daemon; the replica is out of service "
+    "until then.",
 )
 DATA_FOLDER_UNUSABLE = Event(
     2002,
-    "the data folder cannot be opened",
+    "data folder cannot be opened",
     "For lost-disk, move the folder away and restart, so that the host joins as a new member; "
     "for locked, stop the other daemon first.",
 )
-DATA_FOLDER_OPENED = Event(2003, "the data folder was opened", "Nothing to do.")
-TORN_BATCH_CUT = Event(
-    2004, "a batch that a crash cut short was dropped", "Nothing to do; nobody was told of it."
+DATA_FOLDER_OPENED = Event(
+    2003, "data folder opened", "Nothing to do; logged once for each group at each start."
+)
+TORN_BATCH_DROPPED = Event(
+    2004,
+    "incomplete batch at the end of the log dropped",
+    "Nothing to do; a crash interrupted the write before any of it was acknowledged.",
 )
 PEER_CONNECTION_LOST = Event(
     2005,
-    "the connection to another host was lost",
-    "Check that the host runs and that the network lets both through; it is retried meanwhile.",
+    "connection to another host lost",
+    "Check that the host is running and that the network passes TCP between both; the daemon "
+    "reconnects by itself.",
+)
+PEER_CONNECTED = Event(
+    2006,
+    "connection to another host restored",
+    "Nothing to do; if it is often lost, check the network.",
 )
-PEER_CONNECTED = Event(2006, "messages reach another host again", "Nothing to do.")
 ENVELOPE_REFUSED = Event(
     2007,
-    "a message from another host was not understood",
+    "message from another host has an unknown type or field",
     "Run the same release on both hosts.",
 )
 LEADER_CHANGED = Event(
     2008,
-    "another member leads",
-    "Nothing to do; without a leader for longer, look at the hosts of the group.",
+    "leader of the group changed",
+    "Nothing to do; if no leader follows within seconds, check the hosts of the group.",
+)
+MEMBERS_CHANGED = Event(
+    2009,
+    "members of the group changed",
+    "Nothing to do if a host joined, left or was replaced; else check the hosts.",
 )
-MEMBERS_CHANGED = Event(2009, "the members of the group changed", "Nothing to do.")
 DATAGRAMS_UNUSED = Event(
     2010,
-    "the UDP port for heartbeats cannot be bound",
-    "Free the UDP port of the same number as the peers' port; until then streams carry all.",
+    "UDP port for heartbeats cannot be bound",
+    "Free the UDP port with the number of the peers' port and restart the daemon; until then all "
+    "messages use streams.",
 )
 INVARIANT_BROKEN = Event(
     2011,
-    "this replica found a contradiction and takes no part any more",
+    "replica stopped by a broken invariant",
     "Keep the data folder and the log, report both, and restart the daemon.",
 )
--- a/packages/agateferry-state/agateferry_state/replica/__init__.py
+++ b/packages/agateferry-state/agateferry_state/replica/__init__.py
@@ -1,4 +1,4 @@
-"""One host's share in a replicated state machine."""
+"""One member of a replicated state machine: its storage, transport and event loop driver."""
 
 from agateferry_state.replica.link import server_options
 from agateferry_state.replica.node import NodeConfig, NodeReplica, Peer
--- a/packages/agateferry-state/agateferry_state/replica/metrics.py
+++ b/packages/agateferry-state/agateferry_state/replica/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a replica and its transport: what was refused, dropped or tried again."""
+"""Metrics of replicas and their transport."""
 
 from prometheus_client import CollectorRegistry, Counter, Histogram
 
@@ -6,17 +6,17 @@
 
 MESSAGES_DROPPED = Counter(
     "agateferry_replica_messages_dropped_total",
-    "Messages to other hosts that were dropped before they were sent, by reason.",
+    "Messages to other hosts dropped before they were sent, by reason.",
     ["reason"],
 )
 MESSAGES_REFUSED = Counter(
     "agateferry_replica_messages_refused_total",
-    "Messages from other hosts that were not taken in, by reason.",
+    "Messages from other hosts rejected, by reason.",
     ["reason"],
 )
 RECONNECTS = Counter(
     "agateferry_replica_reconnects_total",
-    "Streams to other hosts that broke and are opened again, by reason.",
+    "Streams to other hosts that broke and were reopened, by reason.",
     ["reason"],
 )
 STORAGE_FAILURES = Counter(
@@ -26,17 +26,17 @@
 )
 PROPOSALS_REFUSED = Counter(
     "agateferry_replica_proposals_refused_total",
-    "Proposals that were not applied here, by reason.",
+    "Proposals and reads that failed or whose outcome is unknown, by reason.",
     ["reason"],
 )
 PEER_BYTES = Counter(
     "agateferry_peer_bytes_total",
-    "Bytes of messages to and from other entry hosts, without the framing below them.",
+    "Bytes of messages to and from other entry hosts, without gRPC, TCP and UDP framing.",
     ["direction"],
 )
 SYNC_SECONDS = Histogram(
     "agateferry_sync_seconds",
-    "Time of one disk sync.",
+    "Duration of a log sync in seconds.",
     buckets=SYNC_BUCKETS_S,
 )
 
@@ -52,7 +52,7 @@
 
 
 def register(registry: CollectorRegistry) -> None:
-    """Have the counters of this process shown by a daemon's own registry too."""
+    """Add the metrics of this process to a daemon's registry."""
     for metric in (
         MESSAGES_DROPPED,
         MESSAGES_REFUSED,
--- a/packages/agateferry-state/agateferry_state/replica/node.py
+++ b/packages/agateferry-state/agateferry_state/replica/node.py
@@ -1,4 +1,4 @@
-"""One member of a replicated group, as the slices above use it."""
+"""One member of a replicated group, as other packages use it."""
 
 import random
 from collections.abc import Callable
@@ -9,21 +9,21 @@
 
 from agateferry_core.clock import Clock
 from agateferry_core.logs import EventLogger
-from agateferry_state.events import DATA_FOLDER_OPENED, DATA_FOLDER_UNUSABLE, TORN_BATCH_CUT
+from agateferry_state.events import DATA_FOLDER_OPENED, DATA_FOLDER_UNUSABLE, TORN_BATCH_DROPPED
 from agateferry_state.journal import Files, JournalError
 from agateferry_state.members import Member, MemberId, Members
-from agateferry_state.replica.driver import Driver, Listener
+from agateferry_state.replica.driver import Driver, LeadershipListener
 from agateferry_state.replica.metrics import STORAGE_FAILURES
-from agateferry_state.replica.proposals import Answer, refusal_of
+from agateferry_state.replica.proposals import ProposalResult, propose_error_for
 from agateferry_state.replica.protocols import ProposeError, ProposeErrorKind, StateMachine
 from agateferry_state.replica.status import NodeStatus, describe
-from agateferry_state.replica.storage import Opened, open_storage
+from agateferry_state.replica.storage import OpenedStorage, open_storage
 from agateferry_state.replica.transport import Transport
 from agateferry_state.replication import Core, Role, Settings, messages
 
-STOP_WITHIN_MS = 3000
+STOP_TIMEOUT_MS = 3000
 
-Preview = Result[Members, ProposeError]
+PreviewResult = Result[Members, ProposeError]
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """Which group this is, which of `peers` this host is, and where its files are.
+    """The group, this host's name in it, its initial hosts, and its data folder.
 
-    `folder` is None on a host without a disk. `peers` lists all first hosts; `address` says how a
-    host that is none of them is reached.
+    `folder` is None on a host without a disk. `peers` lists the hosts that form the group at
+    first; `address` is the `ip:port` of this host if it is not one of them.
     """
 
     group: str
@@ -58,7 +58,7 @@
 
     @property
     def first_hosts(self) -> tuple[Member, ...]:
-        """Return the first hosts in the form that the core takes."""
+        """Return the initial hosts as members."""
         return tuple(Member(MemberId(p.name), p.has_disk, p.address) for p in self.peers)
 
 
@@ -81,23 +81,23 @@
         self._rng = rng
         self._files = files
         self._log = EventLogger(group=cfg.group, host=cfg.name)
-        self._listeners: list[Listener] = []
+        self._listeners: list[LeadershipListener] = []
         self._driver: Driver | None = None
         self._failure: ProposeError | None = ProposeError(ProposeErrorKind.STOPPED)
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this member leads under a lease that is valid now and has caught up."""
+        """Tell whether this member leads, its lease is valid now, and it has caught up."""
         driver = self._driver
         if driver is None or driver.failure is not None:
             return False
-        if driver.leads_in_term != driver.core.term:
+        if driver.leading_term != driver.core.term:
             return False
         return driver.core.holds_lease(self._clock.now_ms())
 
     @property
     def leader(self) -> str | None:
-        """Return the host that leads, as far as this one knows."""
+        """Return the host of the leader that this member knows of, or None."""
         return self._driver.leader if self._driver is not None else None
 
     @property
@@ -107,24 +107,24 @@
 
     @property
     def failure(self) -> ProposeError | None:
-        """Return why this member takes no part, or None while it does."""
+        """Return why this member is out of service, or None while it is in service."""
         return self._driver.failure if self._driver is not None else self._failure
 
     @property
     def members(self) -> Members:
-        """Return the members in force in the local log; none while the replica is not started."""
+        """Return the newest members in the local log; none before `start`."""
         return self._driver.core.members if self._driver is not None else Members()
 
-    def on_leadership(self, listener: Listener) -> None:
-        """Have `listener(leads, term)` called when this member begins or ceases to lead.
+    def on_leadership(self, listener: LeadershipListener) -> None:
+        """Call `listener(leads, term)` whenever this member starts or stops leading.
 
-        It begins once it has applied all that earlier leaders had agreed. Since a lease can lapse
-        without a call, `is_leader` is asked before every act.
+        It starts to lead once it has applied all entries committed by earlier leaders. A lease can
+        expire without a call, so check `is_leader` before every action.
         """
         self._listeners.append(listener)
 
     async def start(self) -> None:
-        """Recover what the disk holds and begin to take part; see `failure` for what went wrong."""
+        """Recover the stored state and join the group; on an error, `failure` tells why."""
         started_ms = self._clock.now_ms()
         match open_storage(self._cfg.folder, self._files):
             case Result(tag="ok", ok=opened):
@@ -135,36 +135,36 @@
                     took_ms=self._clock.now_ms() - started_ms,
                 )
             case Result(error=error):
-                self._refuse_folder(error)
+                self._fail_to_open(error)
 
     async def stop(self) -> None:
-        """Hand leadership on, wait for what is under way and close the files."""
+        """Transfer leadership, wait for pending proposals and close the files."""
         driver = self._driver
         if driver is None:
             return
         has_others = len(driver.core.members.voters) > 1
         if driver.failure is None and driver.core.role is Role.LEADER and has_others:
             driver.put(messages.TransferLeadership())
-            await driver.until(lambda: driver.core.role is not Role.LEADER, STOP_WITHIN_MS)
-        await driver.until(lambda: driver.proposals.is_idle, STOP_WITHIN_MS)
+            await driver.wait_until(lambda: driver.core.role is not Role.LEADER, STOP_TIMEOUT_MS)
+        await driver.wait_until(lambda: driver.proposals.is_idle, STOP_TIMEOUT_MS)
         self._failure = driver.failure or ProposeError(ProposeErrorKind.STOPPED)
         self._driver = None
         driver.close()
 
-    async def propose(self, command: bytes) -> Answer:
+    async def propose(self, command: bytes) -> ProposalResult:
         """Commit and apply a command; return the state machine's result."""
-        return await self._ask(lambda proposal_id: messages.Proposed(proposal_id, command))
+        return await self._submit(lambda proposal_id: messages.Proposed(proposal_id, command))
 
-    async def change_member(self, action: messages.MemberAction, member: Member) -> Answer:
-        """Admit or remove a member by an operator's word."""
-        return await self._ask(
+    async def change_member(self, action: messages.MemberAction, member: Member) -> ProposalResult:
+        """Admit or remove a member at an operator's request."""
+        return await self._submit(
             lambda proposal_id: messages.MemberChangeRequested(proposal_id, action, member)
         )
 
     async def read_barrier(self) -> Result[int, ProposeError]:
-        """Return once the local state holds all that was agreed before the call."""
+        """Wait until the local state includes every command committed before the call."""
         while self._driver is not None and self._driver.failure is None:
-            read_id, fut = self._driver.proposals.ask_read()
+            read_id, fut = self._driver.proposals.add_read()
             self._driver.put(messages.ReadRequested(read_id))
             match await fut:
                 case Result(tag="ok", ok=ready):
@@ -172,30 +172,30 @@
                         return Ok(ready.index)
                 case Result(error=error):
                     return Error(error)
-        return Error(self._refusal())
+        return Error(self._unavailable_error())
 
     def force_bootstrap(self) -> None:
-        """Start a new group on this empty host, by an operator's word."""
+        """Start a new group on this empty host at an operator's request."""
         if self._driver is not None:
             self._driver.put(messages.BootstrapForced())
 
-    async def force_recovery(self, lost: frozenset[MemberId]) -> Answer:
-        """Take this host's log as the truth after a quorum was lost, by an operator's word.
+    async def force_recovery(self, lost: frozenset[MemberId]) -> ProposalResult:
+        """Recover from the loss of a quorum with this host's log, at an operator's request.
 
-        Every other voter must be named in `lost`, else the core refuses it as unsafe.
+        `lost` must name every other voter, else the core rejects the recovery as unsafe.
         """
-        return await self._ask(lambda proposal_id: messages.RecoveryForced(lost, proposal_id))
+        return await self._submit(lambda proposal_id: messages.RecoveryForced(lost, proposal_id))
 
-    def preview_change(self, action: messages.MemberAction, host: str) -> Preview:
-        """Return the members that `change_member` would make now, and change nothing."""
+    def preview_change(self, action: messages.MemberAction, host: str) -> PreviewResult:
+        """Return the members as they would be after `change_member`, without a change."""
         return self._preview(lambda core: core.preview_change(action, host))
 
-    def preview_recovery(self, lost: frozenset[MemberId]) -> Preview:
-        """Return the members that `force_recovery` would make now, and change nothing."""
+    def preview_recovery(self, lost: frozenset[MemberId]) -> PreviewResult:
+        """Return the members as they would be after `force_recovery`, without a change."""
         return self._preview(lambda core: core.preview_recovery(lost))
 
     def status(self) -> NodeStatus | None:
-        """Return what operators see, or None while the replica is not started."""
+        """Return the status for operators, or None while the replica is not started."""
         driver = self._driver
         if driver is None:
             return None
@@ -207,23 +207,25 @@
             disk=self._disk_state(driver),
         )
 
-    async def _ask(self, event: Callable[[int], messages.Event]) -> Answer:
+    async def _submit(self, event: Callable[[int], messages.Event]) -> ProposalResult:
         driver = self._driver
         if driver is None or driver.failure is not None:
-            return Error(self._refusal())
-        proposal_id, fut = driver.proposals.ask()
+            return Error(self._unavailable_error())
+        proposal_id, fut = driver.proposals.add_proposal()
         driver.put(event(proposal_id))
         return await fut
 
-    def _preview(self, plan: Callable[[Core], Result[Members, messages.RejectReason]]) -> Preview:
+    def _preview(
+        self, plan: Callable[[Core], Result[Members, messages.RejectReason]]
+    ) -> PreviewResult:
         driver = self._driver
         if driver is None or driver.failure is not None:
-            return Error(self._refusal())
-        return plan(driver.core).map_error(lambda reason: refusal_of(reason, driver.leader))
+            return Error(self._unavailable_error())
+        return plan(driver.core).map_error(lambda reason: propose_error_for(reason, driver.leader))
 
-    def _make_driver(self, opened: Opened) -> Driver:
+    def _make_driver(self, opened: OpenedStorage) -> Driver:
         if opened.cut_bytes:
-            self._log.warning(TORN_BATCH_CUT, bytes=opened.cut_bytes)
+            self._log.warning(TORN_BATCH_DROPPED, bytes=opened.cut_bytes)
         if opened.stored.snapshot is not None:
             self._machine.restore(opened.stored.snapshot.data)
         for peer in self._cfg.peers:
@@ -238,7 +240,7 @@
             listeners=self._listeners,
         )
 
-    def _make_core(self, opened: Opened) -> Core:
+    def _make_core(self, opened: OpenedStorage) -> Core:
         cfg = self._cfg
         me = Member(MemberId(cfg.name, opened.incarnation), cfg.folder is not None, cfg.own_address)
         settings = replace(
@@ -246,12 +248,12 @@
         )
         return Core(me, settings, opened.stored, self._rng, self._clock.now_ms())
 
-    def _refuse_folder(self, error: JournalError) -> None:
+    def _fail_to_open(self, error: JournalError) -> None:
         STORAGE_FAILURES.labels(error.kind.value).inc()
         self._failure = ProposeError(ProposeErrorKind.STORAGE_FAILED, detail=error.detail)
         self._log.error(DATA_FOLDER_UNUSABLE, kind=error.kind, detail=error.detail)
 
-    def _refusal(self) -> ProposeError:
+    def _unavailable_error(self) -> ProposeError:
         return self.failure or ProposeError(ProposeErrorKind.STOPPED)
 
     def _disk_state(self, driver: Driver) -> str:
--- a/packages/agateferry-state/agateferry_state/replica/protocols.py
+++ b/packages/agateferry-state/agateferry_state/replica/protocols.py
@@ -1,8 +1,8 @@
-"""What the slices above ask of replicated state, and what it asks of them.
+"""The interfaces between replicated state and the packages that use it.
 
-A `StateMachine` is a deterministic function of the commands applied to it. A `Replica` gets
-commands agreed upon by a quorum, stored, and applied in one order on every member. Neither names
-a disk or a network, so that a test can put a machine behind a replica that lives in memory.
+A `StateMachine` is a deterministic function of the commands applied to it. A `Replica` commits
+commands to the replicated log and applies them in the same order on every member. Neither depends
+on a disk or a network, so that tests can drive a state machine with a replica kept in memory.
 """
 
 from collections.abc import Callable
@@ -14,16 +14,16 @@
 
 
 class ProposeErrorKind(StrEnum):
-    """Say what became of a command that was not applied here."""
+    """Say why a command was not applied here."""
 
     NOT_LEADER = "not-leader"
-    """The command was not appended; ask the leader."""
+    """The command was not appended; retry at the leader."""
 
     UNKNOWN = "unknown"
-    """The command was appended but its fate was not learned; it may still be applied."""
+    """The command was appended but its outcome is unknown; it may still be applied."""
 
     STORAGE_FAILED = "storage-failed"
-    """The disk refused the command; this host no longer counts it as written."""
+    """A write or sync of the data folder failed; this replica takes no commands until a restart."""
 
     STOPPED = "stopped"
     """This replica is shutting down; the command was not appended."""
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposeError:
-    """Why a proposal has no outcome; `leader` is the member to ask instead, where known."""
+    """Why a proposal has no result; `leader` is the host to ask instead, or None if unknown."""
 
     kind: ProposeErrorKind
     leader: str | None = None
@@ -47,51 +47,51 @@
 
 
 class StateMachine(Protocol):
-    """A deterministic machine that is driven by agreed commands."""
+    """A deterministic state machine that committed commands are applied to."""
 
     def apply(self, index: int, command: bytes) -> Any:
-        """Apply one command and return its result; must depend on nothing but the arguments and state."""
+        """Apply one command and return its result; may use only the arguments and the state."""
 
     def snapshot(self) -> bytes:
-        """Return the whole state in a form that `restore` takes."""
+        """Return the whole state, encoded for `restore`."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot."""
+        """Replace the whole state with a snapshot."""
 
 
 class Replica(Protocol):
-    """One member of a replicated state machine, seen from the slices above."""
+    """One member of a replicated state machine, as the packages that use it see it."""
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this member leads under a lease that is valid now."""
+        """Tell whether this member leads and its lease is valid now."""
 
     @property
     def leader(self) -> str | None:
-        """Return the member that leads, as far as this one knows."""
+        """Return the host of the leader that this member knows of, or None."""
 
     @property
     def term(self) -> int:
-        """Return the term of the present leader; it only goes up."""
+        """Return the newest term that this member has seen; it never decreases."""
 
     def on_leadership(self, listener: Callable[[bool, int], None]) -> None:
-        """Have `listener(leads, term)` called when this member begins or ceases to lead."""
+        """Call `listener(leads, term)` whenever this member starts or stops leading."""
 
     @property
     def failure(self) -> ProposeError | None:
-        """Return why this member takes no part, or None while it does."""
+        """Return why this member is out of service, or None while it is in service."""
 
     async def start(self) -> None:
-        """Recover what the disk holds and begin to take part."""
+        """Recover the stored state and join the group."""
 
     async def stop(self) -> None:
-        """Hand leadership on where possible, finish what is under way and close the files."""
+        """Transfer leadership if possible, finish pending proposals and close the files."""
 
     async def propose(self, command: bytes) -> Result[Applied, ProposeError]:
         """Commit and apply a command; return the state machine's result."""
 
     async def read_barrier(self) -> Result[int, ProposeError]:
-        """Return once the local state holds all that was agreed before the call.
+        """Wait until the local state includes every command committed before the call.
 
-        The value is the log index that the local state has reached.
+        The value is the log index up to which the local state has been applied.
         """
--- a/packages/agateferry-state/agateferry_state/replica/status.py
+++ b/packages/agateferry-state/agateferry_state/replica/status.py
@@ -1,4 +1,4 @@
-"""What operators see of one member of a replicated group."""
+"""The status of a replica and of the group's members, for operators."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """One member of the group as this one knows it; `match_index` is known to the leader only."""
+    """One member of the group, as this replica knows it.
+
+    `match_index` is the last log index known to be replicated to it; None except at the leader.
+    """
 
     host: str
     incarnation: str
@@ -18,9 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStatus:
-    """One replica: what it does, how far it is, and whether its disk works.
+    """The role, term, log positions and disk state of one replica.
 
-    `disk` is "synced", "none" on a host without one, or why the disk failed.
+    `disk` is "synced", "none" on a host without a disk, or the detail of the failure that took
+    the replica out of service.
     """
 
     group: str
@@ -40,7 +44,7 @@
 
 
 def describe(group: str, core: Core, now_ms: int, applied_index: int, disk: str) -> NodeStatus:
-    """Return the status of the member that a core stands for."""
+    """Build the status of a replica from its replication core."""
     matched = core.match_indexes
     return NodeStatus(
         group=group,
--- a/packages/agateferry-state/agateferry_state/replica/storage.py
+++ b/packages/agateferry-state/agateferry_state/replica/storage.py
@@ -1,7 +1,7 @@
-"""Where a replica keeps its term, vote, log and snapshot: on a disk, or on a host without one.
+"""Storage for a replica's term, vote, log and snapshot: on disk, or none on a diskless host.
 
-A host with no disk keeps nothing, so it is a new member at each start; the core counts what it
-holds in memory as it does for any member, and asks for one synced copy elsewhere.
+A host without a disk stores nothing, so it is a new member at each start. The core counts its
+copy in memory towards a quorum like any other, and requires a synced copy on another member.
 """
 
 import struct
@@ -32,39 +32,42 @@
 
 ENTRY_KINDS = (EntryKind.COMMAND, EntryKind.NOOP, EntryKind.MEMBERS)
 ENTRY_NUMBERS = {kind: number for number, kind in enumerate(ENTRY_KINDS)}
-META = struct.Struct("<II")
+SNAPSHOT_HEADER = struct.Struct("<II")
 SEPARATOR = "/"
-Written = Result[int, JournalError]
+WriteResult = Result[int, JournalError]
 
 
 class Storage(Protocol):
-    """Take what a core wants stored; a call that fails makes all later ones fail too."""
+    """Store the state of a replication core; after one failed call, all later ones fail too."""
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
-        """Take entries for the next sync."""
+        """Append entries in memory; the next sync writes them."""
 
     def truncate(self, from_index: int) -> None:
-        """Drop the entry at `from_index` and all after it with the next sync."""
+        """Remove the entry at `from_index` and all after it with the next sync."""
 
-    def sync(self) -> Written:
-        """Make durable what was appended and truncated."""
+    def sync(self) -> WriteResult:
+        """Make all appends and truncations so far durable."""
 
-    def save_vote(self, term: int, voted_for: MemberId | None) -> Written:
+    def save_vote(self, term: int, voted_for: MemberId | None) -> WriteResult:
         """Store term and vote durably."""
 
-    def save_snapshot(self, snapshot: Snapshot) -> Written:
-        """Store a snapshot of the own state durably and drop what it covers."""
+    def save_snapshot(self, snapshot: Snapshot) -> WriteResult:
+        """Store a snapshot of the own state durably and remove the entries that it covers."""
 
-    def install_snapshot(self, snapshot: Snapshot) -> Written:
+    def install_snapshot(self, snapshot: Snapshot) -> WriteResult:
         """Store a leader's snapshot durably in place of the whole log."""
 
     def close(self) -> None:
-        """Give the folder up."""
+        """Close the files and release the lock of the data folder."""
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """Storage that is ready, and what it held."""
+class OpenedStorage:
+    """Storage that is ready for use, with the state recovered from it.
+
+    `cut_bytes` is the size of an incomplete batch that was cut off the end of the log.
+    """
 
     storage: Storage
     incarnation: str
@@ -72,58 +75,60 @@
     cut_bytes: int = 0
 
 
-def open_storage(folder: Path | None, files: Files | None = None) -> Result[Opened, JournalError]:
-    """Open the data folder of one group, or memory where there is none."""
+def open_storage(
+    folder: Path | None, files: Files | None = None
+) -> Result[OpenedStorage, JournalError]:
+    """Open the data folder of one group, or storage that keeps nothing if `folder` is None."""
     if folder is None:
-        return Ok(Opened(MemoryStorage(), new_incarnation(), StoredState()))
+        return Ok(OpenedStorage(MemoryStorage(), new_incarnation(), StoredState()))
     match Journal.open(folder, files):
         case Result(tag="ok", ok=(journal, recovered)):
             stored = _stored_state(recovered)
             incarnation = recovered.incarnation
-            return Ok(Opened(DiskStorage(journal), incarnation, stored, recovered.cut_bytes))
+            return Ok(OpenedStorage(DiskStorage(journal), incarnation, stored, recovered.cut_bytes))
         case Result(error=error):
             return Error(error)
 
 
 class DiskStorage:
-    """Keep everything in a journal."""
+    """Store everything in a journal."""
 
     def __init__(self, journal: Journal) -> None:
         self._journal = journal
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
-        """Take entries for the next sync."""
+        """Append entries in memory; the next sync writes them."""
         self._journal.append(
             [Record(each.index, each.term, each.data, ENTRY_NUMBERS[each.kind]) for each in entries]
         )
 
     def truncate(self, from_index: int) -> None:
-        """Drop the entry at `from_index` and all after it with the next sync."""
+        """Remove the entry at `from_index` and all after it with the next sync."""
         self._journal.truncate(from_index)
 
-    def sync(self) -> Written:
-        """Make durable what was appended and truncated."""
+    def sync(self) -> WriteResult:
+        """Make all appends and truncations so far durable."""
         return self._journal.sync()
 
-    def save_vote(self, term: int, voted_for: MemberId | None) -> Written:
+    def save_vote(self, term: int, voted_for: MemberId | None) -> WriteResult:
         """Store term and vote durably."""
         return self._journal.save_vote(Vote(term, _encode_id(voted_for)))
 
-    def save_snapshot(self, snapshot: Snapshot) -> Written:
-        """Store a snapshot of the own state durably and drop what it covers."""
+    def save_snapshot(self, snapshot: Snapshot) -> WriteResult:
+        """Store a snapshot of the own state durably and remove the entries that it covers."""
         return self._journal.save_snapshot(_encode_snapshot(snapshot))
 
-    def install_snapshot(self, snapshot: Snapshot) -> Written:
+    def install_snapshot(self, snapshot: Snapshot) -> WriteResult:
         """Store a leader's snapshot durably in place of the whole log."""
         return self._journal.install_snapshot(_encode_snapshot(snapshot))
 
     def close(self) -> None:
-        """Close the files and give up the lock."""
+        """Close the files and release the lock of the data folder."""
         self._journal.close()
 
 
 class MemoryStorage:
-    """Keep nothing: the core's own memory is all that a host with no disk has."""
+    """Store nothing; on a host without a disk, the state exists only in the core's memory."""
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
         """Do nothing."""
@@ -131,19 +136,19 @@
     def truncate(self, from_index: int) -> None:
         """Do nothing."""
 
-    def sync(self) -> Written:
+    def sync(self) -> WriteResult:
         """Succeed."""
         return Ok(0)
 
-    def save_vote(self, term: int, voted_for: MemberId | None) -> Written:
+    def save_vote(self, term: int, voted_for: MemberId | None) -> WriteResult:
         """Succeed."""
         return Ok(term)
 
-    def save_snapshot(self, snapshot: Snapshot) -> Written:
+    def save_snapshot(self, snapshot: Snapshot) -> WriteResult:
         """Succeed."""
         return Ok(snapshot.meta.index)
 
-    def install_snapshot(self, snapshot: Snapshot) -> Written:
+    def install_snapshot(self, snapshot: Snapshot) -> WriteResult:
         """Succeed."""
         return Ok(snapshot.meta.index)
 
@@ -180,13 +185,13 @@
 def _encode_snapshot(snapshot: Snapshot) -> StoredSnapshot:
     meta = snapshot.meta
     members = meta.members.encode()
-    header = META.pack(len(members), meta.checksum)
+    header = SNAPSHOT_HEADER.pack(len(members), meta.checksum)
     return StoredSnapshot(meta.index, meta.term, header + members + snapshot.data)
 
 
 def _decode_snapshot(stored: StoredSnapshot) -> Snapshot:
-    length, checksum = META.unpack_from(stored.data)
-    end = META.size + length
-    members = Members.decode(stored.data[META.size : end])
+    length, checksum = SNAPSHOT_HEADER.unpack_from(stored.data)
+    end = SNAPSHOT_HEADER.size + length
+    members = Members.decode(stored.data[SNAPSHOT_HEADER.size : end])
     data = stored.data[end:]
     return Snapshot(SnapshotMeta(stored.index, stored.term, members, len(data), checksum), data)
--- a/packages/agateferry-state/agateferry_state/replica/tests/member_process.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/member_process.py
@@ -1,7 +1,7 @@
 """Run one member of a group as a process: `member_process.py NAME FOLDER NAME=ADDRESS...`.
 
-It reads lines from standard input: `propose TEXT`, `read` or `status`, and answers each by one
-line of JSON.
+It reads the commands `propose TEXT`, `read` and `status` from standard input, one a line, and
+prints one line of JSON for each.
 """
 
 import asyncio
--- a/packages/agateferry-state/agateferry_state/replica/tests/support.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/support.py
@@ -1,4 +1,4 @@
-"""What several tests of this slice put behind or in front of a replica."""
+"""State machine and file system doubles for the tests of replicas."""
 
 import errno
 import time
@@ -7,7 +7,7 @@
 
 
 class ListMachine:
-    """Remember every command in order."""
+    """Store every command in order."""
 
     def __init__(self):
         self.commands = []
@@ -24,7 +24,7 @@
 
 
 class CountingFiles(OsFiles):
-    """Count syncs, and make them slow or fail on demand."""
+    """Count syncs; delay them by `sync_s` seconds, or fail them with `error` if `broken`."""
 
     def __init__(self):
         self.syncs = 0
--- a/packages/agateferry-state/agateferry_state/replica/tests/test_node.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/test_node.py
@@ -11,7 +11,7 @@
 from agateferry_core.support import free_port, run_async
 from agateferry_state.members import Member, MemberId
 from agateferry_state.replica import ProposeErrorKind
-from agateferry_state.replica.driver import SYNC_REST
+from agateferry_state.replica.driver import SYNC_PAUSE_FACTOR
 from agateferry_state.replica.node import NodeConfig, NodeReplica, Peer
 from agateferry_state.replica.tests.support import CountingFiles, ListMachine
 from agateferry_state.replica.transport import GrpcTransport, start_server
@@ -48,7 +48,7 @@
         await self.stop_network()
 
     async def kill(self):
-        """Stop at once, as a killed process does: nothing is synced, answered or handed on."""
+        """Stop like a killed process: without a sync, replies or a transfer of leadership."""
         driver = self.replica._driver
         driver._is_closed = True
         driver._storage.close()
@@ -90,7 +90,7 @@
             if condition():
                 return
             await asyncio.sleep(POLL_S)
-        raise AssertionError(f"in vain: {what}")
+        raise AssertionError(f"timed out waiting for: {what}")
 
     async def leader_of(self, hosts):
         await self.until(lambda: any(h.replica.is_leader for h in hosts), "a leader")
@@ -98,7 +98,7 @@
 
     @asynccontextmanager
     async def formed(self, hosts):
-        """Start hosts until all of them vote, give the leader, and stop what still runs."""
+        """Start hosts, wait until all are voters, yield the leader, and stop the hosts at exit."""
         async with AsyncExitStack() as stack:
             for host in hosts:
                 stack.push_async_callback(host.stop)
@@ -110,7 +110,7 @@
         return await self.leader_of(hosts)
 
     def is_settled(self, host, size):
-        """Tell whether a host leads as many voters, all of which hold the whole log."""
+        """Tell whether a host leads `size` voters that all have the whole log."""
         status = host.replica.status()
         matched = [m.match_index for m in status.members if m.is_voter]
         return host.replica.is_leader and matched == [status.last_index] * size
@@ -138,22 +138,22 @@
 
         run_async(main())
 
-    def test_a_late_doubt_about_an_older_term_leaves_proposals_of_the_own_term_alone(self):
+    def test_failing_proposals_of_older_terms_keeps_those_of_the_own_term(self):
         async def main():
             (host,) = self.make_hosts([True])
             async with self.formed([host]):
                 driver = host.replica._driver
-                proposal_id, fut = driver.proposals.ask()
+                proposal_id, fut = driver.proposals.add_proposal()
                 driver.proposals.accept(proposal_id, driver.core.last_index + 1, driver.core.term)
-                driver._give_up(driver.core.term, None)
+                driver._fail_older_proposals(driver.core.term, None)
                 self.assertFalse(fut.done())
-                driver._give_up(driver.core.term - 1, None)
+                driver._fail_older_proposals(driver.core.term - 1, None)
                 self.assertFalse(fut.done())
                 fut.cancel()
 
         run_async(main())
 
-    def test_proposals_of_one_turn_share_a_sync(self):
+    def test_proposals_of_one_loop_iteration_share_a_sync(self):
         async def main():
             (host,) = self.make_hosts([True])
             async with self.formed([host]):
@@ -165,8 +165,8 @@
 
         run_async(main())
 
-    def test_syncs_leave_the_loop_time_for_others(self):
-        """Seen with 176 workers: a sync for each small command held the loop for half of its time
+    def test_syncs_leave_the_event_loop_time_for_other_work(self):
+        """With 176 workers, a sync for each small command blocked the event loop half of the time,
         and calls were answered after their deadlines."""
         sync_s, span_s = 0.01, 0.5
         results = []
@@ -188,9 +188,9 @@
 
         syncs = run_async(main())
         self.assertTrue(all(result.is_ok() for result in results))
-        self.assertTrue(3 <= syncs <= span_s / (sync_s * (1 + SYNC_REST)) + 2, syncs)
+        self.assertTrue(3 <= syncs <= span_s / (sync_s * (1 + SYNC_PAUSE_FACTOR)) + 2, syncs)
 
-    def test_after_a_failed_sync_it_takes_no_part(self):
+    def test_a_failed_sync_takes_the_replica_out_of_service(self):
         async def main():
             (host,) = self.make_hosts([True])
             async with self.formed([host]):
@@ -207,7 +207,7 @@
 
         run_async(main())
 
-    def test_a_folder_in_use_leaves_it_out_of_service(self):
+    def test_a_locked_folder_keeps_the_replica_out_of_service(self):
         async def main():
             (host,) = self.make_hosts([True])
             async with self.formed([host]):
@@ -220,7 +220,7 @@
 
         run_async(main())
 
-    def test_a_broken_invariant_ends_its_part(self):
+    def test_a_broken_invariant_takes_the_replica_out_of_service(self):
         async def main():
             (host,) = self.make_hosts([True])
             async with self.formed([host]):
@@ -235,7 +235,7 @@
 
         run_async(main())
 
-    def test_a_stopped_replica_refuses(self):
+    def test_a_stopped_replica_rejects_proposals_and_reads(self):
         async def main():
             (host,) = self.make_hosts([True])
             async with self.formed([host]):
@@ -248,7 +248,7 @@
 
 
 class ThreeMemberTests(NodeCase):
-    def test_goes_on_after_the_leader_is_killed_and_takes_it_back(self):
+    def test_commits_after_the_leader_is_killed_and_readmits_it(self):
         async def main():
             hosts = self.make_hosts([True, True, True])
             async with self.formed(hosts) as leader:
@@ -267,7 +267,7 @@
 
         run_async(main())
 
-    def test_a_planned_stop_hands_leadership_on(self):
+    def test_a_planned_stop_transfers_leadership(self):
         async def main():
             hosts = self.make_hosts([True, True, False])
             async with self.formed(hosts) as leader:
@@ -284,7 +284,7 @@
 
         run_async(main())
 
-    def test_a_leader_whose_disk_is_full_makes_room_for_another(self):
+    def test_a_leader_with_a_full_disk_is_replaced(self):
         async def main():
             hosts = self.make_hosts([True, True, True])
             async with self.formed(hosts) as leader:
@@ -304,7 +304,7 @@
 
         run_async(main())
 
-    def test_a_host_that_lost_its_disk_comes_back_as_another_member(self):
+    def test_a_host_that_lost_its_disk_rejoins_as_a_new_member(self):
         async def main():
             hosts = self.make_hosts([True, True, True], snapshot_every_entries=10)
             async with self.formed(hosts) as leader:
@@ -324,8 +324,8 @@
         run_async(main())
 
 
-class SteeringTests(NodeCase):
-    def test_a_recovery_waits_until_every_other_voter_is_given_up(self):
+class MembershipChangeTests(NodeCase):
+    def test_a_recovery_must_name_every_other_voter_as_lost(self):
         async def main():
             hosts = self.make_hosts([True, True, True])
             async with self.formed(hosts) as leader:
@@ -349,7 +349,7 @@
 
         run_async(main())
 
-    def test_a_host_with_an_empty_log_is_not_taken_as_the_truth(self):
+    def test_a_host_with_an_empty_log_cannot_recover_the_group(self):
         async def main():
             host, *_ = self.make_hosts([True, True, True])
             await host.start()
@@ -359,7 +359,7 @@
 
         run_async(main())
 
-    def test_a_removed_host_comes_back_by_word_alone(self):
+    def test_a_removed_host_rejoins_only_when_admitted(self):
         async def main():
             hosts = self.make_hosts([True, True, True])
             async with self.formed(hosts) as leader:
--- a/packages/agateferry-state/agateferry_state/replica/tests/test_process.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/test_process.py
@@ -15,7 +15,7 @@
 
 
 class Process:
-    """One member in a process of its own, driven through its standard input."""
+    """One member in a process of its own, controlled through its standard input."""
 
     def __init__(self, name, folder, addresses):
         self._command = [sys.executable, str(MEMBER), name, str(folder), *addresses]
@@ -31,7 +31,7 @@
             text=True,
         )
 
-    def ask(self, line):
+    def call(self, line):
         self._process.stdin.write(line + "\n")
         self._process.stdin.flush()
         while not (answer := self._process.stdout.readline()).startswith("{"):
@@ -65,7 +65,9 @@
             member.start()
             self.addCleanup(member.kill)
             self.members.append(member)
-        wait_until(lambda: any(m.ask("status")["voters"] == 3 for m in self.members), "three vote")
+        wait_until(
+            lambda: any(m.call("status")["voters"] == 3 for m in self.members), "three voters"
+        )
 
     def leader(self, members):
         found = []
@@ -73,19 +75,19 @@
         return found[-1]
 
     def find_leader(self, members, found):
-        found.extend(member for member in members if member.ask("status")["leads"])
+        found.extend(member for member in members if member.call("status")["leads"])
         return bool(found)
 
     def propose(self, text, members):
-        """Propose to the leader, and to the next one where it has just ceased to lead."""
+        """Propose to the leader; retry at the next one if it no longer leads."""
         while True:
             leader = self.leader(members)
-            answer = leader.ask(f"propose {text}")
+            answer = leader.call(f"propose {text}")
             if answer.get("error") != "not-leader":
                 self.assertIn("index", answer)
                 return leader
 
-    def test_kill_9_of_the_leader_loses_nothing_that_was_answered(self):
+    def test_kill_9_of_the_leader_loses_no_acknowledged_command(self):
         accepted = []
         for turn in range(2):
             for n in range(20):
@@ -93,24 +95,24 @@
                 leader = self.propose(accepted[-1], self.members)
             leader.kill()
             others = [member for member in self.members if member is not leader]
-            self.assertEqual(accepted, self.leader(others).ask("read")["texts"])
+            self.assertEqual(accepted, self.leader(others).call("read")["texts"])
             leader.start()
-            wait_until(lambda: self.all_hold(accepted), "all hold what was accepted")
+            wait_until(lambda: self.all_hold(accepted), "all hold the accepted commands")
 
     def all_hold(self, texts):
-        return all(member.ask("status")["texts"] == texts for member in self.members)
+        return all(member.call("status")["texts"] == texts for member in self.members)
 
-    def test_a_leader_that_was_frozen_does_not_answer_from_its_past(self):
+    def test_a_paused_leader_serves_no_stale_reads(self):
         leader = self.propose("before", self.members)
         others = [member for member in self.members if member is not leader]
         leader.send_signal(signal.SIGSTOP)
         self.propose("meanwhile", others)
         leader.send_signal(signal.SIGCONT)
-        answer = leader.ask("read")
+        answer = leader.call("read")
         self.assertIn(answer.get("texts"), (None, ["before", "meanwhile"]))
-        wait_until(lambda: self.all_hold(["before", "meanwhile"]), "the frozen one catches up")
+        wait_until(lambda: self.all_hold(["before", "meanwhile"]), "the paused leader catches up")
 
-    def test_a_planned_stop_ends_with_0(self):
+    def test_a_planned_stop_exits_with_status_0(self):
         leader = self.leader(self.members)
         self.assertEqual(0, leader.stop())
         others = [member for member in self.members if member is not leader]
--- a/packages/agateferry-state/agateferry_state/replica/tests/test_storage.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/test_storage.py
@@ -30,7 +30,7 @@
     def snapshot(self, index):
         return Snapshot(SnapshotMeta(index, 2, MEMBERS, 5, 77), b"state")
 
-    def test_gives_back_what_a_core_stored(self):
+    def test_recovers_the_stored_state(self):
         opened = self.open()
         entries = tuple(entry(n, kind) for n, kind in enumerate(EntryKind, 1))
         opened.storage.append(entries)
@@ -80,7 +80,7 @@
         stored = self.open().stored
         self.assertEqual((self.snapshot(4), ()), (stored.snapshot, stored.entries))
 
-    def test_a_rotten_folder_is_a_lost_disk(self):
+    def test_a_corrupt_folder_is_reported_as_a_lost_disk(self):
         self.open().storage.close()
         path = self.folder / "incarnation"
         path.write_bytes(path.read_bytes()[:-1])
@@ -88,7 +88,7 @@
 
 
 class MemoryStorageTests(testtools.TestCase):
-    def test_is_another_member_at_each_start(self):
+    def test_each_start_has_a_new_incarnation(self):
         first, second = open_storage(None).ok, open_storage(None).ok
         self.assertNotEqual(first.incarnation, second.incarnation)
         self.assertEqual(0, second.stored.term)
