--- a/packages/agateferry-state/agateferry_state/events.py
+++ b/packages/agateferry-state/agateferry_state/events.py
@@ -48,7 +48,7 @@
     "members of the group changed",
     "Nothing to do if a host joined, left or was replaced; else check the hosts.",
 )
-DATAGRAMS_UNUSED = Event(
+DATAGRAMS_UNAVAILABLE = Event(
     2010,
     "UDP port for heartbeats cannot be bound",
     "Free the UDP port with the number of the peers' port and restart the daemon; until then all "
--- a/packages/agateferry-state/agateferry_state/replica/bench_transport.py
+++ b/packages/agateferry-state/agateferry_state/replica/bench_transport.py
@@ -49,8 +49,8 @@
         return await asyncio.start_server(self._accept, "127.0.0.1", self.port)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        far_reader, far_writer = await asyncio.open_connection("127.0.0.1", self._target)
-        await asyncio.gather(self._pump(reader, far_writer), self._pump(far_reader, writer))
+        target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self._target)
+        await asyncio.gather(self._pump(reader, target_writer), self._pump(target_reader, writer))
 
     async def _pump(self, source: asyncio.StreamReader, sink: asyncio.StreamWriter) -> None:
         while data := await source.read(65536):
--- a/packages/agateferry-state/agateferry_state/replica/codec.py
+++ b/packages/agateferry-state/agateferry_state/replica/codec.py
@@ -63,7 +63,7 @@
 
 
 def decode_envelope(wire: pb.Envelope) -> Envelope:
-    """Convert an envelope from protobuf; raises ValueError if a message or field is unknown."""
+    """Convert an envelope from protobuf; raises ValueError for unknown types or field values."""
     name = wire.WhichOneof("message")
     if name is None:
         raise ValueError("envelope without a message type known to this release")
--- a/packages/agateferry-state/agateferry_state/replica/driver.py
+++ b/packages/agateferry-state/agateferry_state/replica/driver.py
@@ -92,10 +92,10 @@
             self._loop.call_soon(self._step)
         self._pending_events.append(event)
 
-    async def wait_until(self, condition: Callable[[], bool], within_ms: int) -> None:
-        """Wait until a condition holds, checking it after each step, for at most `within_ms`."""
+    async def wait_until(self, condition: Callable[[], bool], timeout_ms: int) -> None:
+        """Wait until a condition holds, checking it after each step, for at most `timeout_ms`."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(within_ms / MS_PER_S):
+            async with asyncio.timeout(timeout_ms / MS_PER_S):
                 while not condition():
                     self._stepped.clear()
                     await self._stepped.wait()
@@ -162,7 +162,7 @@
             case messages.PersistVote(term, voted_for):
                 return self._check_written(self._storage.save_vote(term, voted_for))
             case messages.InstallSnapshot(snapshot):
-                return self._install(snapshot)
+                return self._install_snapshot(snapshot)
             case messages.TakeSnapshot():
                 return self._take_snapshot(effect)
             case _:
@@ -227,7 +227,7 @@
             self._set_leading_term(entry.term)
         self.proposals.complete(entry, result, self.leader)
 
-    def _install(self, snapshot: messages.Snapshot) -> bool:
+    def _install_snapshot(self, snapshot: messages.Snapshot) -> bool:
         if not self._check_written(self._storage.install_snapshot(snapshot)):
             return False
         self._machine.restore(snapshot.data)
--- a/packages/agateferry-state/agateferry_state/replica/node.py
+++ b/packages/agateferry-state/agateferry_state/replica/node.py
@@ -16,7 +16,7 @@
 from agateferry_state.replica.metrics import STORAGE_FAILURES
 from agateferry_state.replica.proposals import ProposalResult, propose_error_for
 from agateferry_state.replica.protocols import ProposeError, ProposeErrorKind, StateMachine
-from agateferry_state.replica.status import NodeStatus, describe
+from agateferry_state.replica.status import NodeStatus, build_status
 from agateferry_state.replica.storage import OpenedStorage, open_storage
 from agateferry_state.replica.transport import Transport
 from agateferry_state.replication import Core, Role, Settings, messages
@@ -135,7 +135,7 @@
                     took_ms=self._clock.now_ms() - started_ms,
                 )
             case Result(error=error):
-                self._fail_to_open(error)
+                self._on_open_error(error)
 
     async def stop(self) -> None:
         """Transfer leadership, wait for pending proposals and close the files."""
@@ -199,7 +199,7 @@
         driver = self._driver
         if driver is None:
             return None
-        return describe(
+        return build_status(
             group=self._cfg.group,
             core=driver.core,
             now_ms=self._clock.now_ms(),
@@ -248,7 +248,7 @@
         )
         return Core(me, settings, opened.stored, self._rng, self._clock.now_ms())
 
-    def _fail_to_open(self, error: JournalError) -> None:
+    def _on_open_error(self, error: JournalError) -> None:
         STORAGE_FAILURES.labels(error.kind.value).inc()
         self._failure = ProposeError(ProposeErrorKind.STORAGE_FAILED, detail=error.detail)
         self._log.error(DATA_FOLDER_UNUSABLE, kind=error.kind, detail=error.detail)
--- a/packages/agateferry-state/agateferry_state/replica/protocols.py
+++ b/packages/agateferry-state/agateferry_state/replica/protocols.py
@@ -17,7 +17,7 @@
     """Say why a command was not applied here."""
 
     NOT_LEADER = "not-leader"
-    """The command was not appended; retry at the leader."""
+    """The command will not be applied; retry at the leader."""
 
     UNKNOWN = "unknown"
     """The command was appended but its outcome is unknown; it may still be applied."""
@@ -26,7 +26,7 @@
     """A write or sync of the data folder failed; this replica takes no commands until a restart."""
 
     STOPPED = "stopped"
-    """This replica is shutting down; the command was not appended."""
+    """This replica is not running, or an error stopped it; the command was not appended."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/agateferry-state/agateferry_state/replica/status.py
+++ b/packages/agateferry-state/agateferry_state/replica/status.py
@@ -43,7 +43,7 @@
     members: tuple[MemberStatus, ...]
 
 
-def describe(group: str, core: Core, now_ms: int, applied_index: int, disk: str) -> NodeStatus:
+def build_status(group: str, core: Core, now_ms: int, applied_index: int, disk: str) -> NodeStatus:
     """Build the status of a replica from its replication core."""
     matched = core.match_indexes
     return NodeStatus(
--- a/packages/agateferry-state/agateferry_state/replica/tests/test_host_replacement.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/test_host_replacement.py
@@ -27,7 +27,7 @@
             async with AsyncExitStack() as stack:
                 for host in hosts:
                     await host.start()
-                leader = await self.formed_leader(hosts)
+                leader = await self.wait_for_voters(hosts)
                 await leader.replica.propose(b"kept")
                 lost = next(host for host in hosts if host is not leader)
                 await lost.kill()
@@ -39,7 +39,7 @@
                 await new.start()
                 wanted = {host.name for host in others} | {"d"}
                 await self.until(lambda: self.voters(leader) == wanted, "the new host is a voter")
-                await self.same_state([*others, new], [b"kept"])
+                await self.wait_for_same_state([*others, new], [b"kept"])
 
         run_async(main())
 
--- a/packages/agateferry-state/agateferry_state/replica/tests/test_node.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/test_node.py
@@ -92,22 +92,22 @@
             await asyncio.sleep(POLL_S)
         raise AssertionError(f"timed out waiting for: {what}")
 
-    async def leader_of(self, hosts):
+    async def wait_for_leader(self, hosts):
         await self.until(lambda: any(h.replica.is_leader for h in hosts), "a leader")
         return next(h for h in hosts if h.replica.is_leader)
 
     @asynccontextmanager
-    async def formed(self, hosts):
+    async def running_group(self, hosts):
         """Start hosts, wait until all are voters, yield the leader, and stop the hosts at exit."""
         async with AsyncExitStack() as stack:
             for host in hosts:
                 stack.push_async_callback(host.stop)
                 await host.start()
-            yield await self.formed_leader(hosts)
+            yield await self.wait_for_voters(hosts)
 
-    async def formed_leader(self, hosts):
+    async def wait_for_voters(self, hosts):
         await self.until(lambda: any(self.is_settled(h, len(hosts)) for h in hosts), "all vote")
-        return await self.leader_of(hosts)
+        return await self.wait_for_leader(hosts)
 
     def is_settled(self, host, size):
         """Tell whether a host leads `size` voters that all have the whole log."""
@@ -115,7 +115,7 @@
         matched = [m.match_index for m in status.members if m.is_voter]
         return host.replica.is_leader and matched == [status.last_index] * size
 
-    async def same_state(self, hosts, commands):
+    async def wait_for_same_state(self, hosts, commands):
         await self.until(lambda: all(h.machine.commands == commands for h in hosts), "same state")
 
 
@@ -123,14 +123,14 @@
     def test_applies_and_survives_a_restart_with_snapshots(self):
         async def main():
             (host,) = self.make_hosts([True], snapshot_every_entries=10, trailing_entries=2)
-            async with self.formed([host]):
+            async with self.running_group([host]):
                 commands = [b"%d" % n for n in range(35)]
                 for command in commands:
                     self.assertTrue((await host.replica.propose(command)).is_ok())
                 self.assertEqual(1, len(list((self.folder / "a").glob("snapshot-*"))))
                 await host.kill()
                 await host.start()
-                await self.leader_of([host])
+                await self.wait_for_leader([host])
                 self.assertEqual(commands, host.machine.commands)
                 self.assertTrue((await host.replica.read_barrier()).is_ok())
                 await host.stop()
@@ -141,7 +141,7 @@
     def test_failing_proposals_of_older_terms_keeps_those_of_the_own_term(self):
         async def main():
             (host,) = self.make_hosts([True])
-            async with self.formed([host]):
+            async with self.running_group([host]):
                 driver = host.replica._driver
                 proposal_id, fut = driver.proposals.add_proposal()
                 driver.proposals.accept(proposal_id, driver.core.last_index + 1, driver.core.term)
@@ -156,7 +156,7 @@
     def test_proposals_of_one_loop_iteration_share_a_sync(self):
         async def main():
             (host,) = self.make_hosts([True])
-            async with self.formed([host]):
+            async with self.running_group([host]):
                 before = host.files.syncs
                 results = await asyncio.gather(*[host.replica.propose(b"x") for _ in range(50)])
                 self.assertEqual(list(range(1, 51)), [result.ok.result for result in results])
@@ -173,7 +173,7 @@
 
         async def main():
             (host,) = self.make_hosts([True])
-            async with self.formed([host]):
+            async with self.running_group([host]):
                 host.files.sync_s = sync_s
                 before = host.files.syncs
                 tasks = []
@@ -193,7 +193,7 @@
     def test_a_failed_sync_takes_the_replica_out_of_service(self):
         async def main():
             (host,) = self.make_hosts([True])
-            async with self.formed([host]):
+            async with self.running_group([host]):
                 host.files.broken = True
                 result = await host.replica.propose(b"a")
                 self.assertEqual(ProposeErrorKind.UNKNOWN, result.error.kind)
@@ -210,7 +210,7 @@
     def test_a_locked_folder_keeps_the_replica_out_of_service(self):
         async def main():
             (host,) = self.make_hosts([True])
-            async with self.formed([host]):
+            async with self.running_group([host]):
                 (other,) = self.make_hosts([True])
                 await other.start()
                 self.assertEqual(ProposeErrorKind.STORAGE_FAILED, other.replica.failure.kind)
@@ -223,7 +223,7 @@
     def test_a_broken_invariant_takes_the_replica_out_of_service(self):
         async def main():
             (host,) = self.make_hosts([True])
-            async with self.formed([host]):
+            async with self.running_group([host]):
                 asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
                 host.machine.apply = lambda index, command: 1 // 0
                 result = await host.replica.propose(b"x")
@@ -238,7 +238,7 @@
     def test_a_stopped_replica_rejects_proposals_and_reads(self):
         async def main():
             (host,) = self.make_hosts([True])
-            async with self.formed([host]):
+            async with self.running_group([host]):
                 await host.stop()
                 result = await host.replica.propose(b"x")
                 self.assertEqual(ProposeErrorKind.STOPPED, result.error.kind)
@@ -251,7 +251,7 @@
     def test_commits_after_the_leader_is_killed_and_readmits_it(self):
         async def main():
             hosts = self.make_hosts([True, True, True])
-            async with self.formed(hosts) as leader:
+            async with self.running_group(hosts) as leader:
                 self.assertTrue((await leader.replica.propose(b"one")).is_ok())
                 others = [host for host in hosts if host is not leader]
                 refused = await others[0].replica.propose(b"no")
@@ -260,39 +260,39 @@
                     (refused.error.kind, refused.error.leader),
                 )
                 await leader.kill()
-                second = await self.leader_of(others)
+                second = await self.wait_for_leader(others)
                 self.assertTrue((await second.replica.propose(b"two")).is_ok())
                 await leader.start()
-                await self.same_state(hosts, [b"one", b"two"])
+                await self.wait_for_same_state(hosts, [b"one", b"two"])
 
         run_async(main())
 
     def test_a_planned_stop_transfers_leadership(self):
         async def main():
             hosts = self.make_hosts([True, True, False])
-            async with self.formed(hosts) as leader:
+            async with self.running_group(hosts) as leader:
                 waiting = [asyncio.create_task(leader.replica.propose(b"x")) for _ in range(20)]
                 await asyncio.sleep(0)
                 loop = asyncio.get_running_loop()
                 began = loop.time()
                 await leader.stop()
                 others = [host for host in hosts if host is not leader]
-                await self.leader_of(others)
+                await self.wait_for_leader(others)
                 self.assertLess(loop.time() - began, 0.9)
                 self.assertTrue(all(answer.is_ok() for answer in await asyncio.gather(*waiting)))
-                await self.same_state(others, [b"x"] * 20)
+                await self.wait_for_same_state(others, [b"x"] * 20)
 
         run_async(main())
 
     def test_a_leader_with_a_full_disk_is_replaced(self):
         async def main():
             hosts = self.make_hosts([True, True, True])
-            async with self.formed(hosts) as leader:
+            async with self.running_group(hosts) as leader:
                 leader.files.error = errno.ENOSPC
                 leader.files.broken = True
                 result = await leader.replica.propose(b"one")
                 others = [host for host in hosts if host is not leader]
-                second = await self.leader_of(others)
+                second = await self.wait_for_leader(others)
                 self.assertTrue((await second.replica.propose(b"two")).is_ok())
                 if result.is_ok():
                     # Both others had synced it before the leader's own sync failed.
@@ -307,7 +307,7 @@
     def test_a_host_that_lost_its_disk_rejoins_as_a_new_member(self):
         async def main():
             hosts = self.make_hosts([True, True, True], snapshot_every_entries=10)
-            async with self.formed(hosts) as leader:
+            async with self.running_group(hosts) as leader:
                 lost = next(host for host in hosts if host is not leader)
                 before = lost.replica.status().incarnation
                 await lost.kill()
@@ -316,7 +316,7 @@
                     self.assertTrue((await leader.replica.propose(b"%d" % n)).is_ok())
                 await lost.start()
                 self.assertNotEqual(before, lost.replica.status().incarnation)
-                await self.same_state(hosts, [b"%d" % n for n in range(30)])
+                await self.wait_for_same_state(hosts, [b"%d" % n for n in range(30)])
                 await self.until(
                     lambda: before not in str(leader.replica.status().members), "removal"
                 )
@@ -328,24 +328,24 @@
     def test_a_recovery_must_name_every_other_voter_as_lost(self):
         async def main():
             hosts = self.make_hosts([True, True, True])
-            async with self.formed(hosts) as leader:
+            async with self.running_group(hosts) as leader:
                 self.assertTrue((await leader.replica.propose(b"one")).is_ok())
-                await self.same_state(hosts, [b"one"])
-                left, *others = hosts
+                await self.wait_for_same_state(hosts, [b"one"])
+                survivor, *others = hosts
                 for host in others:
                     await host.kill()
-                await self.until(lambda: left.replica.leader is None, "the loss is noticed")
-                voters = {m.host: m for m in left.replica.status().members}
+                await self.until(lambda: survivor.replica.leader is None, "the loss is noticed")
+                voters = {m.host: m for m in survivor.replica.status().members}
                 lost = [MemberId(host.name, voters[host.name].incarnation) for host in others]
-                before = left.replica.status().members
-                refused = await left.replica.force_recovery(frozenset(lost[:1]))
+                before = survivor.replica.status().members
+                refused = await survivor.replica.force_recovery(frozenset(lost[:1]))
                 self.assertEqual(RejectReason.UNSAFE, refused.error.detail)
-                preview = left.replica.preview_recovery(frozenset(lost))
+                preview = survivor.replica.preview_recovery(frozenset(lost))
                 self.assertEqual(["a"], [m.id.host for m in preview.ok.voters])
-                self.assertEqual(before, left.replica.status().members)
-                self.assertTrue((await left.replica.force_recovery(frozenset(lost))).is_ok())
-                self.assertTrue((await left.replica.propose(b"two")).is_ok())
-                self.assertEqual([b"one", b"two"], left.machine.commands)
+                self.assertEqual(before, survivor.replica.status().members)
+                self.assertTrue((await survivor.replica.force_recovery(frozenset(lost))).is_ok())
+                self.assertTrue((await survivor.replica.propose(b"two")).is_ok())
+                self.assertEqual([b"one", b"two"], survivor.machine.commands)
 
         run_async(main())
 
@@ -362,17 +362,19 @@
     def test_a_removed_host_rejoins_only_when_admitted(self):
         async def main():
             hosts = self.make_hosts([True, True, True])
-            async with self.formed(hosts) as leader:
-                gone = next(host for host in hosts if host is not leader)
+            async with self.running_group(hosts) as leader:
+                removed = next(host for host in hosts if host is not leader)
                 change, preview = leader.replica.change_member, leader.replica.preview_change
-                member = Member(MemberId(gone.name))
-                after = preview(MemberAction.REMOVE, gone.name).ok
-                self.assertEqual((2, (gone.name,)), (len(after.voters), after.removed))
+                member = Member(MemberId(removed.name))
+                after = preview(MemberAction.REMOVE, removed.name).ok
+                self.assertEqual((2, (removed.name,)), (len(after.voters), after.removed))
                 self.assertTrue((await change(MemberAction.REMOVE, member)).is_ok())
                 again = await change(MemberAction.REMOVE, member)
                 self.assertEqual(RejectReason.NOT_NEEDED, again.error.detail)
-                await self.until(lambda: preview(MemberAction.ADMIT, gone.name).is_ok(), "greeting")
+                await self.until(
+                    lambda: preview(MemberAction.ADMIT, removed.name).is_ok(), "greeting"
+                )
                 self.assertTrue((await change(MemberAction.ADMIT, member)).is_ok())
-                await self.formed_leader(hosts)
+                await self.wait_for_voters(hosts)
 
         run_async(main())
--- a/packages/agateferry-state/agateferry_state/replica/tests/test_transport.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/test_transport.py
@@ -53,8 +53,8 @@
         self.connections += 1
         state = {"frozen": False}
         self._open.append(state)
-        far_reader, far_writer = await asyncio.open_connection("127.0.0.1", self._target_port)
-        for source, sink in ((reader, far_writer), (far_reader, writer)):
+        target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self._target_port)
+        for source, sink in ((reader, target_writer), (target_reader, writer)):
             self._tasks.append(asyncio.create_task(self._pump(source, sink, state)))
 
     async def _pump(self, source, sink, state):
--- a/packages/agateferry-state/agateferry_state/replica/transport.py
+++ b/packages/agateferry-state/agateferry_state/replica/transport.py
@@ -14,7 +14,7 @@
 
 from agateferry_core.clock import Clock, SystemClock
 from agateferry_core.logs import EventLogger
-from agateferry_state.events import DATAGRAMS_UNUSED, ENVELOPE_REFUSED
+from agateferry_state.events import DATAGRAMS_UNAVAILABLE, ENVELOPE_REFUSED
 from agateferry_state.replica.codec import Envelope, decode_envelope, encode_envelope
 from agateferry_state.replica.datagrams import DatagramReachability, DatagramSocket
 from agateferry_state.replica.link import LinkSettings, PeerLink, server_options
@@ -104,7 +104,7 @@
         try:
             self._datagrams = DatagramSocket(address, self._receive_datagram)
         except OSError as exc:
-            self._log.warning(DATAGRAMS_UNUSED, address=address, detail=str(exc))
+            self._log.warning(DATAGRAMS_UNAVAILABLE, address=address, detail=str(exc))
 
     def add_to(self, server: aio.Server) -> None:
         """Add the service that receives envelopes to a server that is not started yet."""
