--- a/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
@@ -22,7 +22,7 @@
         """Return the result of a command once it is committed and applied on this host."""
         match await self._replica.propose(commands.encode(command)):
             case Result(tag="ok", ok=applied):
-                return Ok(applied.outcome)
+                return Ok(applied.result)
             case Result(error=error):
                 self._log.warning(
                     events.PROPOSAL_FAILED,
