--- a/packages/agateferry-state/agateferry_state/members/admission.py
+++ b/packages/agateferry-state/agateferry_state/members/admission.py
@@ -15,7 +15,7 @@
 MAX_VOTERS = 7
 
 
-def next_change(
+def next_membership_change(
     members: Members,
     present: Mapping[str, Member],
     caught_up: Collection[MemberId],
--- a/packages/agateferry-state/agateferry_state/members/quorum.py
+++ b/packages/agateferry-state/agateferry_state/members/quorum.py
@@ -22,7 +22,7 @@
     return count * 2 > len(members.voters)
 
 
-def is_everyone_left(
+def includes_all_survivors(
     members: Members, ids: Collection[MemberId], superseded: Collection[MemberId]
 ) -> bool:
     """Tell whether every voter is in `ids` or is superseded and has no disk."""
@@ -39,7 +39,7 @@
     The disk copy may be that of a learner that takes the place of a superseded voter with a disk:
     that voter can never come back to recover without it.
     """
-    enough = is_majority(members, holders) or is_everyone_left(members, holders, superseded)
+    enough = is_majority(members, holders) or includes_all_survivors(members, holders, superseded)
     if not enough:
         return False
     lost_hosts = {m.id.host for m in members.voters if m.has_disk and m.id in superseded}
@@ -47,7 +47,9 @@
     return _has_disk(members, holders) or any(m.id in holders for m in successors)
 
 
-def highest(values: Mapping[MemberId, int], suffices: Callable[[set[MemberId]], bool]) -> int:
+def highest_value_reached(
+    values: Mapping[MemberId, int], suffices: Callable[[set[MemberId]], bool]
+) -> int:
     """Return the highest value that a sufficient set of members has reached, or 0."""
     for value in sorted(set(values.values()), reverse=True):
         if suffices({m for m, reached in values.items() if reached >= value}):
@@ -55,7 +57,7 @@
     return 0
 
 
-def witnesses_needed(
+def extra_holders_required(
     old: Members, new: Members, superseded: Collection[MemberId]
 ) -> frozenset[MemberId]:
     """Return the voters that must hold a change of members besides a quorum of the new ones.
--- a/packages/agateferry-state/agateferry_state/members/replacement.py
+++ b/packages/agateferry-state/agateferry_state/members/replacement.py
@@ -29,7 +29,7 @@
     return _admit(members, present) or _remove_silent(members, caught_up, silent)
 
 
-def promotable(members: Members, caught_up: Collection[MemberId]) -> set[MemberId]:
+def promotable_learners(members: Members, caught_up: Collection[MemberId]) -> set[MemberId]:
     """Return the learners that may vote now.
 
     A successor on the same host always may, and any learner while the cell forms or has an even
--- a/packages/agateferry-state/agateferry_state/members/tests/test_admission.py
+++ b/packages/agateferry-state/agateferry_state/members/tests/test_admission.py
@@ -1,7 +1,7 @@
 import testtools
 
 from agateferry_state.members import Member, MemberId, Members
-from agateferry_state.members.admission import bootstrap_host, next_change
+from agateferry_state.members.admission import bootstrap_host, next_membership_change
 
 
 def member(host, incarnation="1", has_disk=True):
@@ -13,7 +13,9 @@
         """Follow the changes with a newcomer that is always caught up."""
         present = {newcomer.id.host: newcomer}
         seen = []
-        while (members := next_change(members, present, {newcomer.id}, hosts)) is not None:
+        while (
+            members := next_membership_change(members, present, {newcomer.id}, hosts)
+        ) is not None:
             seen.append("".join(m.id.host + m.id.incarnation for m in members.voters))
         return seen
 
@@ -37,16 +39,18 @@
 
     def test_a_learner_that_lags_is_not_promoted(self):
         members = Members((member("a"),), (member("b"),))
-        self.assertIsNone(next_change(members, {}, set(), ("a", "b")))
+        self.assertIsNone(next_membership_change(members, {}, set(), ("a", "b")))
 
     def test_a_first_host_waits_while_an_earlier_change_is_open(self):
         members = Members((member("a"),))
         present = {"b": member("b")}
-        self.assertIsNone(next_change(members, present, set(), ("a", "b"), is_settled=False))
+        self.assertIsNone(
+            next_membership_change(members, present, set(), ("a", "b"), is_settled=False)
+        )
 
     def test_forming_ends_with_a_majority_of_the_first_hosts(self):
         members = Members((member("a"),), (member("b"),), is_forming=True)
-        changed = next_change(members, {}, {MemberId("b", "1")}, ("a", "b", "c"))
+        changed = next_membership_change(members, {}, {MemberId("b", "1")}, ("a", "b", "c"))
         self.assertFalse(changed.is_forming)
 
 
--- a/packages/agateferry-state/agateferry_state/members/tests/test_quorum.py
+++ b/packages/agateferry-state/agateferry_state/members/tests/test_quorum.py
@@ -5,10 +5,10 @@
 from agateferry_state.members import Member, MemberId, Members
 from agateferry_state.members.quorum import (
     can_commit,
-    highest,
-    is_everyone_left,
+    extra_holders_required,
+    highest_value_reached,
+    includes_all_survivors,
     is_majority,
-    witnesses_needed,
 )
 
 
@@ -47,21 +47,21 @@
 
     def assert_met(self, members, holders, gone):
         for voters in subsets(members.voter_ids):
-            if is_majority(members, voters) or is_everyone_left(members, voters, gone):
+            if is_majority(members, voters) or includes_all_survivors(members, voters, gone):
                 self.assertTrue(holders & set(voters), (members, holders, voters))
 
     def test_highest_value_that_a_majority_reached(self):
         members = cell((True, True, True))
         values = dict(zip(sorted(members.voter_ids), (7, 5, 3), strict=True))
-        self.assertEqual(5, highest(values, lambda ids: is_majority(members, ids)))
+        self.assertEqual(5, highest_value_reached(values, lambda ids: is_majority(members, ids)))
 
     def test_old_disks_must_know_of_a_disk_that_is_added_beside_hosts_without(self):
         old = cell((True, False, False))
         new = old.with_voter(Member(MemberId("d", "1")))
-        self.assertEqual({MemberId("a", "1")}, witnesses_needed(old, new, ()))
-        self.assertEqual(set(), witnesses_needed(old, new, {MemberId("a", "1")}))
+        self.assertEqual({MemberId("a", "1")}, extra_holders_required(old, new, ()))
+        self.assertEqual(set(), extra_holders_required(old, new, {MemberId("a", "1")}))
 
     def test_no_witness_is_needed_where_all_have_disks(self):
         old = cell((True, True))
         new = old.with_voter(Member(MemberId("d", "1")))
-        self.assertEqual(set(), witnesses_needed(old, new, ()))
+        self.assertEqual(set(), extra_holders_required(old, new, ()))
--- a/packages/agateferry-state/agateferry_state/members/tests/test_replacement.py
+++ b/packages/agateferry-state/agateferry_state/members/tests/test_replacement.py
@@ -1,7 +1,7 @@
 import testtools
 
 from agateferry_state.members import Member, MemberId, Members
-from agateferry_state.members.replacement import next_replacement, promotable
+from agateferry_state.members.replacement import next_replacement, promotable_learners
 
 
 def member(host, incarnation="1", has_disk=True):
@@ -44,17 +44,17 @@
 
 class PromotableTests(testtools.TestCase):
     def test_a_single_learner_does_not_make_an_even_number_of_voters(self):
-        self.assertEqual(set(), promotable(THREE.with_learner(member("d")), ids("d")))
+        self.assertEqual(set(), promotable_learners(THREE.with_learner(member("d")), ids("d")))
 
     def test_two_learners_make_five_voters(self):
         members = THREE.with_learner(member("d")).with_learner(member("e"))
-        self.assertEqual(ids("d", "e"), promotable(members, ids("d", "e")))
+        self.assertEqual(ids("d", "e"), promotable_learners(members, ids("d", "e")))
 
     def test_a_learner_completes_an_even_number(self):
         members = Members((member("b"), member("c"))).with_learner(member("d"))
-        self.assertEqual(ids("d"), promotable(members, ids("d")))
+        self.assertEqual(ids("d"), promotable_learners(members, ids("d")))
 
     def test_a_successor_on_the_same_host_always_may(self):
         members = THREE.with_learner(member("a", "2"))
         successor = MemberId("a", "2")
-        self.assertEqual({successor}, promotable(members, {successor}))
+        self.assertEqual({successor}, promotable_learners(members, {successor}))
--- a/packages/agateferry-state/agateferry_state/replication/acks.py
+++ b/packages/agateferry-state/agateferry_state/replication/acks.py
@@ -1,7 +1,11 @@
 """What an answer of a peer tells a leader, whatever it answers: that it is heard."""
 
 from agateferry_state.members import MemberId
-from agateferry_state.members.quorum import highest, is_everyone_left, is_majority
+from agateferry_state.members.quorum import (
+    highest_value_reached,
+    includes_all_survivors,
+    is_majority,
+)
 from agateferry_state.replication.leading import Leading, Progress
 from agateferry_state.replication.state import State
 
@@ -23,8 +27,8 @@
     rounds = {peer: progress.acked_round for peer, progress in leading.peers.items()}
     rounds[state.me.id] = leading.lease.round
     members, superseded = state.log.members, state.superseded
-    confirmed = highest(
+    confirmed = highest_value_reached(
         rounds,
-        lambda ids: is_majority(members, ids) or is_everyone_left(members, ids, superseded),
+        lambda ids: is_majority(members, ids) or includes_all_survivors(members, ids, superseded),
     )
     leading.lease.confirm(confirmed)
--- a/packages/agateferry-state/agateferry_state/replication/changing.py
+++ b/packages/agateferry-state/agateferry_state/replication/changing.py
@@ -10,9 +10,9 @@
 from expression import Error, Ok, Result
 
 from agateferry_state.members import Member, MemberId, Members
-from agateferry_state.members.admission import is_viable, next_change
+from agateferry_state.members.admission import is_viable, next_membership_change
 from agateferry_state.members.quorum import can_commit
-from agateferry_state.members.replacement import next_replacement, promotable
+from agateferry_state.members.replacement import next_replacement, promotable_learners
 from agateferry_state.replication import leader
 from agateferry_state.replication.election import RECOVERY_TERM_STEP
 from agateferry_state.replication.leading import Leading
@@ -49,7 +49,7 @@
     if state.settings.replaces_hosts:
         members = _next_by_itself(state, leading, present, caught_up, is_settled)
     else:
-        members = next_change(state.log.members, present, caught_up, hosts, is_settled)
+        members = next_membership_change(state.log.members, present, caught_up, hosts, is_settled)
     if members is not None:
         leader.append(state, EntryKind.MEMBERS, members.encode())
 
@@ -64,8 +64,8 @@
     """Return the next change in a cell that lets hosts in and out without an operator."""
     members = state.log.members
     hosts = state.settings.first_host_names
-    ready = promotable(members, caught_up)
-    change = next_change(members, present, ready, hosts, is_settled)
+    ready = promotable_learners(members, caught_up)
+    change = next_membership_change(members, present, ready, hosts, is_settled)
     if change is not None or not is_settled:
         return change
     fresh = {
--- a/packages/agateferry-state/agateferry_state/replication/election.py
+++ b/packages/agateferry-state/agateferry_state/replication/election.py
@@ -10,7 +10,7 @@
 """
 
 from agateferry_state.members import MemberId
-from agateferry_state.members.quorum import is_everyone_left, is_majority
+from agateferry_state.members.quorum import includes_all_survivors, is_majority
 from agateferry_state.replication import leader
 from agateferry_state.replication.messages import TimeoutNow, VoteRequest, VoteResponse
 from agateferry_state.replication.state import Role, State
@@ -82,7 +82,7 @@
         else:
             leader.start(state)
         return
-    if not is_everyone_left(members, state.votes, state.superseded):
+    if not includes_all_survivors(members, state.votes, state.superseded):
         return
     if state.role is Role.PRE_CANDIDATE:
         _campaign(state, state.term + RECOVERY_TERM_STEP, recovery=True)
--- a/packages/agateferry-state/agateferry_state/replication/leader.py
+++ b/packages/agateferry-state/agateferry_state/replication/leader.py
@@ -6,7 +6,11 @@
 """
 
 from agateferry_state.members import MemberId, Members
-from agateferry_state.members.quorum import can_commit, highest, witnesses_needed
+from agateferry_state.members.quorum import (
+    can_commit,
+    extra_holders_required,
+    highest_value_reached,
+)
 from agateferry_state.replication import acks, snapshots
 from agateferry_state.replication.leading import Leading, Progress
 from agateferry_state.replication.lease import Lease
@@ -110,7 +114,7 @@
     held[state.me.id] = state.log.synced_index
     members = state.log.members
     superseded = state.superseded
-    index = highest(held, lambda ids: can_commit(members, ids, superseded))
+    index = highest_value_reached(held, lambda ids: can_commit(members, ids, superseded))
     index = min(index, _last_known_to_witnesses(state, held))
     if index > state.commit_index and state.log.term_at(index) == state.term:
         state.commit_index = index
@@ -119,7 +123,7 @@
 def _last_known_to_witnesses(state: State, held: dict[MemberId, int]) -> int:
     if state.log.members_index > state.commit_index:
         for at, old, new in state.log.changes_after(state.commit_index):
-            needed = witnesses_needed(old, new, state.superseded)
+            needed = extra_holders_required(old, new, state.superseded)
             if any(held.get(m, 0) < at for m in needed):
                 return at - 1
     return state.log.last_index
