--- a/packages/agateferry-service/agateferry_service/cell/catalog.py
+++ b/packages/agateferry-service/agateferry_service/cell/catalog.py
@@ -29,7 +29,7 @@
 
     def teams(self) -> tuple[Team, ...]:
         """Return all teams."""
-        return tuple(self._team(revision) for revision in self.records.all_of(Kind.TEAM))
+        return tuple(self._team(revision) for revision in self.records.current_revisions(Kind.TEAM))
 
     def job(self, name: str) -> JobRecord | None:
         """Return a job record."""
--- a/packages/agateferry-service/agateferry_service/records/plane.py
+++ b/packages/agateferry-service/agateferry_service/records/plane.py
@@ -22,7 +22,7 @@
     encode_put,
     encode_revisions,
     parse_put,
-    show,
+    render_content,
 )
 from agateferry_state.replica import Replica
 
@@ -136,7 +136,7 @@
         "version": revision.version,
         "revision": revision.number,
         "schema": schema.value,
-        "content": show(revision.record, schema),
+        "content": render_content(revision.record, schema),
     }
 
 
@@ -148,7 +148,7 @@
     kind, schema = Kind(kind_text), Schema(schema_text)
     match req.what:
         case "list":
-            records = [describe(revision, schema) for revision in store.all_of(kind)]
+            records = [describe(revision, schema) for revision in store.current_revisions(kind)]
             return pb.QueryReply(body=json.dumps({"records": records}))
         case "history":
             versions = [describe(revision, schema) for revision in store.history(kind, name)]
--- a/packages/agateferry-state/agateferry_state/records/__init__.py
+++ b/packages/agateferry-state/agateferry_state/records/__init__.py
@@ -27,7 +27,7 @@
     RecordPut,
     Revision,
 )
-from agateferry_state.records.schemas import show
+from agateferry_state.records.schemas import render_content
 from agateferry_state.records.store import RecordStore
 
 __all__ = [
@@ -54,5 +54,5 @@
     "encode_revisions",
     "parse_put",
     "read_content",
-    "show",
+    "render_content",
 ]
--- a/packages/agateferry-state/agateferry_state/records/codec.py
+++ b/packages/agateferry-state/agateferry_state/records/codec.py
@@ -21,7 +21,7 @@
     ZoneGuarantee,
 )
 from agateferry_state.records.messages import RecordPut, Revision
-from agateferry_state.records.schemas import show
+from agateferry_state.records.schemas import render_content
 
 FORM = 1
 
@@ -96,7 +96,7 @@
         "kind": revision.kind,
         "name": revision.name,
         "version": revision.version,
-        "record": show(revision.record, Schema.V2),
+        "record": render_content(revision.record, Schema.V2),
         "schema": revision.schema,
         "digest": revision.digest,
         "operator": revision.operator,
--- a/packages/agateferry-state/agateferry_state/records/schemas.py
+++ b/packages/agateferry-state/agateferry_state/records/schemas.py
@@ -1,6 +1,6 @@
 """Choose the reader and the writer of a record's content by its schema.
 
-For example `show(record, Schema.V1)` gives what a caller of v1 gets to see of a record.
+For example `render_content(record, Schema.V1)` gives what a caller of v1 gets to see of a record.
 """
 
 from typing import Any, assert_never
@@ -26,7 +26,7 @@
 }
 
 
-def show(record: Record, schema: Schema) -> dict[str, Any]:
+def render_content(record: Record, schema: Schema) -> dict[str, Any]:
     """Return a record's content as JSON in the form of a schema."""
     module: Any = schema_v1 if schema is Schema.V1 else schema_v2
     content: dict[str, Any]
--- a/packages/agateferry-state/agateferry_state/records/store.py
+++ b/packages/agateferry-state/agateferry_state/records/store.py
@@ -65,7 +65,7 @@
         versions = self._versions.get((kind, name))
         return versions[-1] if versions else None
 
-    def all_of(self, kind: Kind) -> tuple[Revision, ...]:
+    def current_revisions(self, kind: Kind) -> tuple[Revision, ...]:
         """Return what stands of a kind, in order of names."""
         current = (versions[-1] for key, versions in self._versions.items() if key[0] is kind)
         return tuple(sorted(current, key=lambda revision: revision.name))
--- a/packages/agateferry-state/agateferry_state/records/tests/test_races.py
+++ b/packages/agateferry-state/agateferry_state/records/tests/test_races.py
@@ -11,7 +11,7 @@
     Schema,
     decode_revisions,
     encode_revisions,
-    show,
+    render_content,
 )
 
 NAME = "contested"
@@ -43,7 +43,9 @@
         schema = self.rng.choice(list(Schema))
         current = plane.get(Kind.JOB, NAME)
         self.stated += OPERATORS
-        content = show(current.record, schema) | {"declared_run_ms": self.stated + self.number}
+        content = render_content(current.record, schema) | {
+            "declared_run_ms": self.stated + self.number
+        }
         return RecordPut(Kind.JOB, NAME, schema, current.version, content)
 
     def take(self, outcome):
--- a/packages/agateferry-state/agateferry_state/records/tests/test_schemas.py
+++ b/packages/agateferry-state/agateferry_state/records/tests/test_schemas.py
@@ -16,7 +16,7 @@
     ZoneGuarantee,
     decode_revisions,
     encode_revisions,
-    show,
+    render_content,
 )
 
 SHAPES = st.builds(
@@ -62,29 +62,31 @@
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(st.one_of(JOBS, TEAMS, CONFIGS))
     def test_v2_says_all(self, record):
-        self.assertEqual(record, put(RecordStore(), record, show(record, Schema.V2), Schema.V2))
+        self.assertEqual(
+            record, put(RecordStore(), record, render_content(record, Schema.V2), Schema.V2)
+        )
 
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(st.one_of(JOBS, TEAMS, CONFIGS))
     def test_a_v1_read_and_write_back_changes_nothing(self, record):
         store = RecordStore()
-        put(store, record, show(record, Schema.V2), Schema.V2)
-        self.assertEqual(record, put(store, record, show(record, Schema.V1), Schema.V1))
+        put(store, record, render_content(record, Schema.V2), Schema.V2)
+        self.assertEqual(record, put(store, record, render_content(record, Schema.V1), Schema.V1))
 
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(st.one_of(JOBS, TEAMS, CONFIGS))
     def test_what_v1_wrote_survives_a_v2_read_and_write_back(self, record):
         store = RecordStore()
-        content = show(record, Schema.V1)
+        content = render_content(record, Schema.V1)
         written = put(store, record, content, Schema.V1)
-        again = put(store, written, show(written, Schema.V2), Schema.V2)
-        self.assertEqual(content, show(again, Schema.V1))
+        again = put(store, written, render_content(written, Schema.V2), Schema.V2)
+        self.assertEqual(content, render_content(again, Schema.V1))
 
     @settings(derandomize=True, max_examples=100, deadline=None)
     @given(st.one_of(JOBS, TEAMS, CONFIGS))
     def test_revisions_survive_the_way_to_a_cell(self, record):
         store = RecordStore()
-        put(store, record, show(record, Schema.V2), Schema.V2)
+        put(store, record, render_content(record, Schema.V2), Schema.V2)
         revisions = store.since(0)
         self.assertEqual(revisions, decode_revisions(encode_revisions(revisions)))
 
@@ -93,8 +95,8 @@
     def test_a_change_by_v1_keeps_what_only_v2_shows(self):
         store = RecordStore()
         job = JobRecord(Urgency.LONG, demand=Demand(16, 8, 32, 4096, Adjacency.RACK))
-        put(store, job, show(job, Schema.V2), Schema.V2)
-        content = {**show(job, Schema.V1), "members": 4}
+        put(store, job, render_content(job, Schema.V2), Schema.V2)
+        content = {**render_content(job, Schema.V1), "members": 4}
         changed = put(store, job, content, Schema.V1)
         self.assertEqual(Demand(4, 8, 32, 4096, Adjacency.RACK), changed.demand)
         self.assertEqual(Urgency.LONG, changed.urgency)
@@ -103,8 +105,11 @@
         store = RecordStore()
         shapes = (Shape(4, Adjacency.WORKER, 2),)
         team = TeamRecord(guarantees=(ZoneGuarantee("a-1", shapes), ZoneGuarantee("a-2", shapes)))
-        put(store, team, show(team, Schema.V2), Schema.V2)
-        content = {**show(team, Schema.V1), "guarantee_accelerators": {"a-1": 8, "a-2": 16}}
+        put(store, team, render_content(team, Schema.V2), Schema.V2)
+        content = {
+            **render_content(team, Schema.V1),
+            "guarantee_accelerators": {"a-1": 8, "a-2": 16},
+        }
         changed = put(store, team, content, Schema.V1)
         expected = (
             ZoneGuarantee("a-1", shapes),
--- a/packages/agateferry-state/agateferry_state/records/tests/test_store.py
+++ b/packages/agateferry-state/agateferry_state/records/tests/test_store.py
@@ -10,7 +10,7 @@
     RecordStore,
     Schema,
     encode_put,
-    show,
+    render_content,
 )
 from agateferry_state.records.store import MAX_KEPT_VERSIONS
 
@@ -121,5 +121,5 @@
         plane, cell = filled(5), RecordStore()
         cell.adopt(plane.since(0))
         self.assertEqual((), cell.adopt(filled(2).since(0)))
-        shown = show(cell.get(Kind.JOB, "barn-count").record, Schema.V2)
+        shown = render_content(cell.get(Kind.JOB, "barn-count").record, Schema.V2)
         self.assertEqual((5, 5), (cell.revision, shown["declared_run_ms"]))
