--- a/packages/agateferry-state/agateferry_state/members/__init__.py
+++ b/packages/agateferry-state/agateferry_state/members/__init__.py
@@ -1,4 +1,4 @@
-"""Membership of a replicated log: identities, quorums, admission and removal."""
+"""Membership of a replicated log: identities, quorums, and which change of members comes next."""
 
 from agateferry_state.members.members import Member, MemberId, Members
 
--- a/packages/agateferry-state/agateferry_state/members/admission.py
+++ b/packages/agateferry-state/agateferry_state/members/admission.py
@@ -1,10 +1,11 @@
-"""Which change of members a leader makes next.
-
-The steps to take a lost host back are a learner that catches up, the removal of the incarnation
-that is gone, and the promotion of the learner: one voter at a time, as in section 4.1 of Ongaro's
-thesis. Removing first needs the fewest live hosts at every moment, and a second loss of the same
-host in between costs nothing. Where the lost one was the only voter with a disk, nothing could be
-committed without it, so there the new one is added first.
+"""Decide the next membership change, for hosts that are members or named in the settings.
+
+A host that lost its data rejoins as a new incarnation in three steps: the new incarnation is added
+as a learner and catches up, the old incarnation is removed, and the learner is promoted. Voters
+change one at a time, as in section 4.1 of Ongaro's thesis. Removing the old voter before promoting
+the new one needs the fewest live hosts at every moment, and a second loss of the same host between
+the two steps does no harm. If the old incarnation is the only voter with a disk, nothing could be
+committed after its removal, so the new one is promoted first.
 """
 
 from collections.abc import Collection, Mapping
@@ -22,31 +23,36 @@
     first_hosts: Collection[str],
     is_settled: bool = True,
 ) -> Members | None:
-    """Return the members that should follow `members`, or None where all is well.
+    """Return the members that should follow `members`, or None if no change is needed.
+
+    `present` maps a host name to the member whose latest confirmed greeting proved that it runs
+    there. `caught_up` are the members that hold every committed entry. `first_hosts` are the names
+    of the hosts that form the cell according to its settings.
 
-    Where an earlier change is not committed yet, `is_settled` is false and only new incarnations
-    of known hosts are let in as learners: they count in no majority, and after the loss of the
-    only disk nothing can be committed before its successor is one of them.
+    `is_settled` is false while an earlier change is not yet committed. Then only new incarnations
+    of hosts that are already members are admitted, as learners. This is safe, because learners
+    count in no majority; and it is necessary, because after the loss of the only disk nothing can
+    be committed until the new incarnation of that host is a learner.
 
-    `present` has, for each host name, the member that proved to run there now. For example with
-    voters a/1, b/1, c/1 and a/2 present, the answers are, one after the other: a/2 as learner, a/1
-    removed, a/2 as voter.
+    For example, with voters a/1, b/1, c/1 and a/2 present, successive calls return: a/2 as a
+    learner, a/1 removed, a/2 as a voter.
     """
     admitted = _admit(members, present, first_hosts if is_settled else ())
     if admitted is not None or not is_settled:
         return admitted
-    return _remove_doubled(members) or _promote(members, caught_up, first_hosts)
+    return _remove_older_incarnation(members) or _promote(members, caught_up, first_hosts)
 
 
 def is_viable(members: Members) -> bool:
-    """Tell whether these members can commit anything at all."""
+    """Tell whether these members can commit at all, which needs a voter with a disk."""
     return any(m.has_disk for m in members.voters)
 
 
 def bootstrap_host(hosts: Mapping[str, Member], first_hosts: Collection[str]) -> str | None:
-    """Return the host that starts a new cell, given that all of `hosts` are empty.
+    """Return the host that bootstraps a new cell, or None while that is not safe.
 
-    Only one host may do it, so that two halves of a restart never make two cells.
+    `hosts` are the hosts known to have an empty log; all of `first_hosts` must be among them. Every
+    host computes the same answer, so that hosts that restart in two groups never form two cells.
     """
     if not first_hosts or not set(first_hosts) <= set(hosts):
         return None
@@ -59,17 +65,17 @@
     known_hosts = {m.id.host for m in members.all} | set(first_hosts)
     for host in sorted(present):
         member_id = present[host].id
-        wanted = host in known_hosts and host not in members.removed
-        if wanted and members.find(member_id) is None and member_id not in members.given_up:
+        may_join = host in known_hosts and host not in members.removed
+        if may_join and members.find(member_id) is None and member_id not in members.given_up:
             return members.with_learner(present[host])
     return None
 
 
-def _remove_doubled(members: Members) -> Members | None:
-    """Remove the older of two voters of one host; the newer one stands later in the tuple."""
+def _remove_older_incarnation(members: Members) -> Members | None:
+    """Remove the older of two voters on one host, which comes first, as `with_voter` appends."""
     for position, voter in enumerate(members.voters):
-        later = members.voters[position + 1 :]
-        if any(m.id.host == voter.id.host for m in later):
+        newer_voters = members.voters[position + 1 :]
+        if any(m.id.host == voter.id.host for m in newer_voters):
             return members.without(voter.id)
     return None
 
@@ -84,10 +90,10 @@
         if predecessor is not None and is_viable(members.without(predecessor.id)):
             return members.without(predecessor.id)
         if predecessor is not None or len(members.voters) < MAX_VOTERS:
-            return _formed(members.with_voter(learner), first_hosts)
+            return _update_is_forming(members.with_voter(learner), first_hosts)
     return None
 
 
-def _formed(members: Members, first_hosts: Collection[str]) -> Members:
-    forming = members.is_forming and len(members.voters) * 2 <= len(first_hosts)
-    return replace(members, is_forming=forming)
+def _update_is_forming(members: Members, first_hosts: Collection[str]) -> Members:
+    is_forming = members.is_forming and len(members.voters) * 2 <= len(first_hosts)
+    return replace(members, is_forming=is_forming)
--- a/packages/agateferry-state/agateferry_state/members/members.py
+++ b/packages/agateferry-state/agateferry_state/members/members.py
@@ -1,9 +1,9 @@
-"""Who takes part in a replicated log: identities, voters and learners.
+"""The members of a replicated log: identities, voters and learners.
 
-A host that lost its disk has forgotten how it voted, so it comes back as another member: each data
-folder (or, on a host with no disk, each process) draws a random incarnation. `Members` is the
-content of a log entry of kind MEMBERS and takes effect as soon as it is in the log, as in section
-4.1 of Ongaro's thesis (2014).
+A host that lost its data no longer knows how it voted, so it rejoins as a different member: each
+data folder (or, on a host without a disk, each process) draws a random incarnation. `Members` is
+the content of a log entry of kind MEMBERS. It takes effect as soon as the entry is in the log,
+committed or not, as in section 4.1 of Ongaro's thesis (2014).
 """
 
 import json
@@ -13,9 +13,9 @@
 
 
 class MemberId(NamedTuple):
-    """One life of a host: its name and the incarnation of its data folder or process.
+    """A host's name and the incarnation of its data folder or process.
 
-    An empty incarnation stands for whichever one runs now; only greetings are sent that way.
+    An empty incarnation addresses whichever incarnation runs on the host; only greetings use it.
     """
 
     host: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A member with what others need to know of it; `address` is for the transport alone."""
+    """A member with what other members need to know of it; only the transport uses `address`."""
 
     id: MemberId
     has_disk: bool = True
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """The voters and learners in force; learners receive the log and count in no quorum.
+    """The current voters and learners; learners receive the log but count in no quorum.
 
-    `removed` names the hosts that an operator took out; they are not let in again by themselves.
-    `given_up` are the incarnations that a forced recovery left behind: they may hold another
-    history, so they are never let in again. `is_forming` is true from the bootstrap until a
-    majority of the first hosts votes.
+    `removed` are the names of hosts that an operator removed; they are not admitted again until an
+    operator asks for it. `given_up` are the incarnations that a forced recovery excluded: their
+    logs may have diverged, so they are never admitted again. `is_forming` is true from the
+    bootstrap until more than half of the first hosts are voters.
     """
 
     voters: tuple[Member, ...] = ()
@@ -70,18 +70,18 @@
         return any(m.id == member_id for m in self.voters)
 
     def with_learner(self, member: Member) -> "Members":
-        """Return a copy with one learner more; earlier learners of that host are dropped."""
+        """Return a copy with one more learner, which replaces any learner on the same host."""
         kept = tuple(m for m in self.learners if m.id.host != member.id.host)
         return replace(self, learners=(*kept, member))
 
     def with_voter(self, member: Member) -> "Members":
-        """Return a copy in which the member votes and is no longer a learner."""
+        """Return a copy in which the member is the newest voter and no longer a learner."""
         learners = tuple(m for m in self.learners if m.id != member.id)
         voters = tuple(m for m in self.voters if m.id != member.id)
         return replace(self, voters=(*voters, member), learners=learners)
 
     def without(self, member_id: MemberId) -> "Members":
-        """Return a copy in which the member takes no part."""
+        """Return a copy without this voter or learner."""
         return replace(
             self,
             voters=tuple(m for m in self.voters if m.id != member_id),
@@ -92,8 +92,8 @@
         """Return the bytes of a MEMBERS entry."""
         return json.dumps(
             {
-                "voters": _plain(self.voters),
-                "learners": _plain(self.learners),
+                "voters": _to_rows(self.voters),
+                "learners": _to_rows(self.learners),
                 "removed": self.removed,
                 "given_up": self.given_up,
                 "is_forming": self.is_forming,
@@ -103,22 +103,22 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "Members":
-        """Read the bytes of a MEMBERS entry; raises ValueError where they are none."""
+        """Read the bytes of a MEMBERS entry; raise ValueError if they are not JSON."""
         fields = json.loads(data)
         return cls(
-            voters=_parse(fields["voters"]),
-            learners=_parse(fields["learners"]),
+            voters=_from_rows(fields["voters"]),
+            learners=_from_rows(fields["learners"]),
             removed=tuple(fields["removed"]),
             given_up=tuple(MemberId(*pair) for pair in fields["given_up"]),
             is_forming=fields["is_forming"],
         )
 
 
-def _plain(members: Iterable[Member]) -> list[list[str | bool]]:
+def _to_rows(members: Iterable[Member]) -> list[list[str | bool]]:
     return [[m.id.host, m.id.incarnation, m.has_disk, m.address] for m in members]
 
 
-def _parse(rows: list[list[str]]) -> tuple[Member, ...]:
+def _from_rows(rows: list[list[str]]) -> tuple[Member, ...]:
     return tuple(
         Member(MemberId(host, incarnation), bool(has_disk), address)
         for host, incarnation, has_disk, address in rows
--- a/packages/agateferry-state/agateferry_state/members/quorum.py
+++ b/packages/agateferry-state/agateferry_state/members/quorum.py
@@ -1,14 +1,14 @@
-"""Which sets of members may elect a leader, and which may commit.
+"""Decide which sets of members may elect a leader and which may commit an entry.
 
 A majority elects. An entry is committed once a majority holds it and at least one of the holders
-has it synced on a disk; hosts with no disk hold it in memory. This is the rule of van Renesse and
-Tanenbaum, "Voting with Ghosts", 2.2, that a write quorum needs one stable copy.
-
-When a whole cell went down, the memory of its members with no disk is gone and a majority may be
-out of reach for ever. Each such member whose host runs a newer incarnation is *superseded*: it can
-never vote or hold anything again. The members with a disk together hold every committed entry, so
-all of them at once, with every other voter superseded, may elect as well. That is the paper's
-recovery once all comatose copies are back.
+has it synced on a disk; hosts without a disk hold it in memory. This is the rule of van Renesse
+and Tanenbaum, "Voting with Ghosts", 2.2, that a write quorum needs one stable copy.
+
+After a whole cell went down, the memory of its members without a disk is lost, and a majority may
+never be reachable again. A member whose host runs a newer incarnation is *superseded*: it can
+never vote or hold entries again. The members with a disk together hold every committed entry, so
+all of them together may also elect a leader if every other voter is superseded. In the paper, this
+is the recovery once all comatose copies are back.
 """
 
 from collections.abc import Callable, Collection, Mapping
@@ -25,34 +25,42 @@
 def includes_all_survivors(
     members: Members, ids: Collection[MemberId], superseded: Collection[MemberId]
 ) -> bool:
-    """Tell whether every voter is in `ids` or is superseded and has no disk."""
+    """Tell whether every voter is in `ids`, except superseded voters without a disk.
+
+    At least one of the voters in `ids` must have a disk.
+    """
     missing = [m for m in members.voters if m.id not in ids]
-    gone = all(m.id in superseded and not m.has_disk for m in missing)
-    return gone and _has_disk(members, ids)
+    are_lost = all(m.id in superseded and not m.has_disk for m in missing)
+    return are_lost and _includes_disk(members, ids)
 
 
 def can_commit(
     members: Members, holders: Collection[MemberId], superseded: Collection[MemberId]
 ) -> bool:
-    """Tell whether an entry that these members hold durably is committed.
+    """Tell whether an entry that `holders` hold, synced where they have a disk, is committed.
 
-    The disk copy may be that of a learner that takes the place of a superseded voter with a disk:
-    that voter can never come back to recover without it.
+    The copy on a disk may be that of a learner on the host of a superseded voter with a disk: that
+    voter can never return and take part in a recovery without the learner.
     """
-    enough = is_majority(members, holders) or includes_all_survivors(members, holders, superseded)
-    if not enough:
+    has_quorum = is_majority(members, holders) or includes_all_survivors(
+        members, holders, superseded
+    )
+    if not has_quorum:
         return False
     lost_hosts = {m.id.host for m in members.voters if m.has_disk and m.id in superseded}
     successors = [m for m in members.learners if m.has_disk and m.id.host in lost_hosts]
-    return _has_disk(members, holders) or any(m.id in holders for m in successors)
+    return _includes_disk(members, holders) or any(m.id in holders for m in successors)
 
 
 def highest_value_reached(
-    values: Mapping[MemberId, int], suffices: Callable[[set[MemberId]], bool]
+    values: Mapping[MemberId, int], is_enough: Callable[[set[MemberId]], bool]
 ) -> int:
-    """Return the highest value that a sufficient set of members has reached, or 0."""
+    """Return the highest value that a set of members accepted by `is_enough` has reached, or 0.
+
+    `values` are log indexes or round numbers that each member has reached.
+    """
     for value in sorted(set(values.values()), reverse=True):
-        if suffices({m for m, reached in values.items() if reached >= value}):
+        if is_enough({m for m, reached in values.items() if reached >= value}):
             return value
     return 0
 
@@ -60,10 +68,11 @@
 def extra_holders_required(
     old: Members, new: Members, superseded: Collection[MemberId]
 ) -> frozenset[MemberId]:
-    """Return the voters that must hold a change of members besides a quorum of the new ones.
+    """Return the voters of `old` that must hold the change to `new` before it is committed.
 
-    Where some voters have no disk, the disks of the old members could recover without knowing of
-    a disk that was added meanwhile. So each of them must know of it before it counts.
+    They are required in addition to a quorum of `new`. If some voters have no disk, the old voters
+    with a disk could recover together without knowing of a voter with a disk that was added since.
+    So each of them, unless superseded, must hold the change that adds one.
     """
     added = [m for m in new.voters if m.has_disk and not old.is_voter(m.id)]
     if not added or all(m.has_disk for m in old.voters + new.voters):
@@ -71,5 +80,5 @@
     return frozenset(m.id for m in old.voters if m.has_disk and m.id not in superseded)
 
 
-def _has_disk(members: Members, ids: Collection[MemberId]) -> bool:
+def _includes_disk(members: Members, ids: Collection[MemberId]) -> bool:
     return any(m.has_disk and m.id in ids for m in members.voters)
--- a/packages/agateferry-state/agateferry_state/members/replacement.py
+++ b/packages/agateferry-state/agateferry_state/members/replacement.py
@@ -1,8 +1,8 @@
-"""Members of a cell that heals itself: hosts come and go without an operator.
+"""Decide membership changes of a cell that replaces silent hosts without an operator.
 
-A host that was not among the first ones is let in as a learner. It takes the place of a voter that
-has been silent for long, or votes besides where that makes the number of voters odd. A voter that
-was replaced and comes back is a learner like any other, with the log it had.
+Any host with a disk is admitted as a learner, unless an operator removed it or a forced recovery
+excluded it. It replaces a voter that was silent for `replace_after_ms`, or becomes an additional
+voter if that makes the number of voters odd. A replaced voter that returns is admitted as a learner too, with the log that it had.
 """
 
 from collections.abc import Collection, Mapping
@@ -10,9 +10,9 @@
 from agateferry_state.members.members import Member, MemberId, Members
 
 MIN_VOTERS = 3
-"""A cell that loses a host needs three voters to go on."""
-MAX_SELF_MADE_VOTERS = 5
-"""Five voters bear the loss of two hosts; more only cost messages."""
+"""With fewer than three voters, the loss of one host stops the cell."""
+MAX_AUTOMATIC_VOTERS = 5
+"""Five voters tolerate the loss of two hosts; more voters would only add messages."""
 
 
 def next_replacement(
@@ -21,28 +21,32 @@
     caught_up: Collection[MemberId],
     silent: Collection[MemberId],
 ) -> Members | None:
-    """Return the members that should follow, or None where nothing is to be replaced.
+    """Return the members that should follow `members`, or None if no change is needed.
 
-    `present` holds hosts that lately proved to run, `silent` the voters that were not heard for
-    long. For example with voters a, b, c, learner d caught up and a silent, the answer is b, c.
+    `present` maps a host name to the member that recently proved that it runs there. `caught_up`
+    are the members that hold every committed entry, `silent` the voters that the leader has not
+    heard for `replace_after_ms`. For example, with voters a, b and c, if learner d has caught up
+    and a is silent, the result has voters b and c.
     """
     return _admit(members, present) or _remove_silent(members, caught_up, silent)
 
 
 def promotable_learners(members: Members, caught_up: Collection[MemberId]) -> set[MemberId]:
-    """Return the learners that may vote now.
+    """Return the learners that may be promoted to voters, out of `caught_up`.
 
-    A successor on the same host always may, and any learner while the cell forms or has an even
-    number of voters. A cell with an odd number grows by two at once.
+    A learner on the host of a voter may always be promoted, to replace that voter. Any learner may
+    while the cell forms, has fewer than three voters or has an even number of them. With an odd
+    number, learners are promoted only if at least two are ready and two more voters do not exceed
+    `MAX_AUTOMATIC_VOTERS`, so that the number can stay odd.
     """
     voter_hosts = {m.id.host for m in members.voters}
-    ready = {m.id for m in members.learners if m.id in caught_up}
-    successors = {each for each in ready if each.host in voter_hosts}
+    ready_learners = {m.id for m in members.learners if m.id in caught_up}
+    successors = {member_id for member_id in ready_learners if member_id.host in voter_hosts}
     count = len(members.voters)
     if members.is_forming or count < MIN_VOTERS or count % 2 == 0:
-        return ready
-    if len(ready) >= 2 and count + 2 <= MAX_SELF_MADE_VOTERS:
-        return ready
+        return ready_learners
+    if len(ready_learners) >= 2 and count + 2 <= MAX_AUTOMATIC_VOTERS:
+        return ready_learners
     return successors
 
 
@@ -58,10 +62,10 @@
 def _remove_silent(
     members: Members, caught_up: Collection[MemberId], silent: Collection[MemberId]
 ) -> Members | None:
-    """Remove one silent voter where a learner can follow it or where the number is even."""
-    has_successor = any(m.id in caught_up and m.has_disk for m in members.learners)
+    """Remove one silent voter if a learner can replace it, or if the number of voters is even."""
+    has_replacement = any(m.id in caught_up and m.has_disk for m in members.learners)
     count = len(members.voters)
-    if not has_successor and (count % 2 or count <= MIN_VOTERS):
+    if not has_replacement and (count % 2 or count <= MIN_VOTERS):
         return None
     for voter in members.voters:
         if voter.id in silent:
--- a/packages/agateferry-state/agateferry_state/members/tests/test_admission.py
+++ b/packages/agateferry-state/agateferry_state/members/tests/test_admission.py
@@ -8,31 +8,33 @@
     return Member(MemberId(host, incarnation), has_disk)
 
 
-class NextChangeTests(testtools.TestCase):
+class NextMembershipChangeTests(testtools.TestCase):
     def steps(self, members, newcomer, hosts=("a", "b", "c")):
-        """Follow the changes with a newcomer that is always caught up."""
+        """Return the voters after each change, with a newcomer that has always caught up."""
         present = {newcomer.id.host: newcomer}
-        seen = []
+        voters_after_each_step = []
         while (
             members := next_membership_change(members, present, {newcomer.id}, hosts)
         ) is not None:
-            seen.append("".join(m.id.host + m.id.incarnation for m in members.voters))
-        return seen
+            voters_after_each_step.append(
+                "".join(m.id.host + m.id.incarnation for m in members.voters)
+            )
+        return voters_after_each_step
 
     def test_a_lost_host_is_removed_before_its_successor_votes(self):
         members = Members((member("a"), member("b"), member("c")))
         self.assertEqual(["a1b1c1", "b1c1", "b1c1a2"], self.steps(members, member("a", "2")))
 
-    def test_the_successor_of_the_only_disk_is_added_first(self):
+    def test_the_successor_of_the_only_voter_with_a_disk_is_promoted_first(self):
         members = Members((member("a"), member("b", has_disk=False)))
         self.assertEqual(["a1b1", "a1b1a2", "b1a2"], self.steps(members, member("a", "2")))
 
-    def test_a_first_host_is_let_in_and_a_stranger_is_not(self):
+    def test_a_first_host_is_admitted_and_an_unknown_host_is_not(self):
         members = Members((member("a"),))
         self.assertEqual(["a1", "a1b1"], self.steps(members, member("b")))
         self.assertEqual([], self.steps(members, member("z")))
 
-    def test_a_removed_host_and_a_given_up_member_stay_out(self):
+    def test_a_removed_host_and_a_given_up_member_are_not_admitted(self):
         members = Members((member("a"),), removed=("b",), given_up=(MemberId("c", "1"),))
         self.assertEqual([], self.steps(members, member("b")))
         self.assertEqual([], self.steps(members, member("c")))
@@ -41,7 +43,7 @@
         members = Members((member("a"),), (member("b"),))
         self.assertIsNone(next_membership_change(members, {}, set(), ("a", "b")))
 
-    def test_a_first_host_waits_while_an_earlier_change_is_open(self):
+    def test_a_first_host_is_not_admitted_while_an_earlier_change_is_uncommitted(self):
         members = Members((member("a"),))
         present = {"b": member("b")}
         self.assertIsNone(
@@ -55,9 +57,9 @@
 
 
 class BootstrapHostTests(testtools.TestCase):
-    def test_the_first_host_with_a_disk_starts_the_cell(self):
+    def test_the_first_host_with_a_disk_bootstraps_the_cell(self):
         hosts = {"a": member("a", has_disk=False), "b": member("b"), "c": member("c")}
         self.assertEqual("b", bootstrap_host(hosts, "abc"))
 
-    def test_no_host_starts_it_while_one_is_not_known_to_be_empty(self):
+    def test_no_host_bootstraps_while_a_first_host_is_not_known_to_be_empty(self):
         self.assertIsNone(bootstrap_host({"a": member("a"), "b": member("b")}, "abc"))
--- a/packages/agateferry-state/agateferry_state/members/tests/test_members.py
+++ b/packages/agateferry-state/agateferry_state/members/tests/test_members.py
@@ -6,12 +6,12 @@
 
 
 class MembersTests(testtools.TestCase):
-    def test_survives_its_encoding(self):
+    def test_decode_returns_what_was_encoded(self):
         given_up = (MemberId("c", "1"),)
         members = Members((A,), (B,), removed=("d",), given_up=given_up, is_forming=True)
         self.assertEqual(members, Members.decode(members.encode()))
 
-    def test_a_learner_that_votes_is_no_learner_any_more(self):
+    def test_a_promoted_learner_is_no_longer_a_learner(self):
         self.assertEqual(Members((A, B)), Members((A,), (B,)).with_voter(B))
 
     def test_a_new_incarnation_replaces_a_learner_of_the_same_host(self):
--- a/packages/agateferry-state/agateferry_state/members/tests/test_quorum.py
+++ b/packages/agateferry-state/agateferry_state/members/tests/test_quorum.py
@@ -37,17 +37,17 @@
         self.assertFalse(can_commit(members, holders, ()))
         self.assertTrue(can_commit(members, holders, {MemberId("a", "1")}))
 
-    def test_those_who_elect_meet_those_who_committed(self):
+    def test_every_electing_set_overlaps_every_committing_set(self):
         for disks in itertools.product((True, False), repeat=4):
             members = cell(disks)
-            gone = {m.id for m in members.voters if not m.has_disk}
+            superseded = {m.id for m in members.voters if not m.has_disk}
             for holders in subsets(members.voter_ids):
                 if can_commit(members, holders, ()):
-                    self.assert_met(members, set(holders), gone)
+                    self.assert_overlaps_electing_sets(members, set(holders), superseded)
 
-    def assert_met(self, members, holders, gone):
+    def assert_overlaps_electing_sets(self, members, holders, superseded):
         for voters in subsets(members.voter_ids):
-            if is_majority(members, voters) or includes_all_survivors(members, voters, gone):
+            if is_majority(members, voters) or includes_all_survivors(members, voters, superseded):
                 self.assertTrue(holders & set(voters), (members, holders, voters))
 
     def test_highest_value_that_a_majority_reached(self):
@@ -55,13 +55,13 @@
         values = dict(zip(sorted(members.voter_ids), (7, 5, 3), strict=True))
         self.assertEqual(5, highest_value_reached(values, lambda ids: is_majority(members, ids)))
 
-    def test_old_disks_must_know_of_a_disk_that_is_added_beside_hosts_without(self):
+    def test_old_voters_with_a_disk_must_hold_the_addition_of_another(self):
         old = cell((True, False, False))
         new = old.with_voter(Member(MemberId("d", "1")))
         self.assertEqual({MemberId("a", "1")}, extra_holders_required(old, new, ()))
         self.assertEqual(set(), extra_holders_required(old, new, {MemberId("a", "1")}))
 
-    def test_no_witness_is_needed_where_all_have_disks(self):
+    def test_no_extra_holder_is_required_if_all_voters_have_disks(self):
         old = cell((True, True))
         new = old.with_voter(Member(MemberId("d", "1")))
         self.assertEqual(set(), extra_holders_required(old, new, ()))
--- a/packages/agateferry-state/agateferry_state/members/tests/test_replacement.py
+++ b/packages/agateferry-state/agateferry_state/members/tests/test_replacement.py
@@ -16,33 +16,33 @@
 
 
 class NextReplacementTests(testtools.TestCase):
-    def test_a_stranger_with_a_disk_becomes_a_learner(self):
+    def test_an_unknown_host_with_a_disk_becomes_a_learner(self):
         changed = next_replacement(THREE, {"d": member("d")}, set(), set())
         self.assertEqual(("d",), tuple(m.id.host for m in changed.learners))
 
-    def test_a_stranger_without_a_disk_or_removed_by_an_operator_does_not(self):
+    def test_a_host_without_a_disk_or_removed_by_an_operator_is_not_admitted(self):
         self.assertIsNone(next_replacement(THREE, {"d": member("d", "1", False)}, set(), set()))
         barred = Members(THREE.voters, removed=("d",))
         self.assertIsNone(next_replacement(barred, {"d": member("d")}, set(), set()))
 
-    def test_a_silent_voter_makes_room_for_a_learner_that_caught_up(self):
+    def test_a_silent_voter_is_removed_if_a_learner_has_caught_up(self):
         members = THREE.with_learner(member("d"))
         changed = next_replacement(members, {}, ids("d"), ids("a"))
         self.assertEqual(ids("b", "c"), changed.voter_ids)
 
-    def test_a_silent_voter_of_three_stays_while_nobody_can_follow_it(self):
+    def test_a_silent_voter_of_three_stays_while_no_learner_can_replace_it(self):
         self.assertIsNone(next_replacement(THREE, {}, set(), ids("a")))
         lagging = THREE.with_learner(member("d"))
         self.assertIsNone(next_replacement(lagging, {}, set(), ids("a")))
 
-    def test_a_silent_voter_of_four_goes_without_a_successor(self):
+    def test_a_silent_voter_of_four_is_removed_without_a_replacement(self):
         members = Members((*THREE.voters, member("d")))
         self.assertEqual(
             ids("a", "b", "c"), next_replacement(members, {}, set(), ids("d")).voter_ids
         )
 
 
-class PromotableTests(testtools.TestCase):
+class PromotableLearnersTests(testtools.TestCase):
     def test_a_single_learner_does_not_make_an_even_number_of_voters(self):
         self.assertEqual(set(), promotable_learners(THREE.with_learner(member("d")), ids("d")))
 
@@ -50,11 +50,11 @@
         members = THREE.with_learner(member("d")).with_learner(member("e"))
         self.assertEqual(ids("d", "e"), promotable_learners(members, ids("d", "e")))
 
-    def test_a_learner_completes_an_even_number(self):
+    def test_a_learner_is_promoted_if_the_number_of_voters_is_even(self):
         members = Members((member("b"), member("c"))).with_learner(member("d"))
         self.assertEqual(ids("d"), promotable_learners(members, ids("d")))
 
-    def test_a_successor_on_the_same_host_always_may(self):
+    def test_a_successor_on_the_same_host_may_always_be_promoted(self):
         members = THREE.with_learner(member("a", "2"))
         successor = MemberId("a", "2")
         self.assertEqual({successor}, promotable_learners(members, {successor}))
