--- a/packages/agateferry-state/agateferry_state/journal/__init__.py
+++ b/packages/agateferry-state/agateferry_state/journal/__init__.py
@@ -1,4 +1,4 @@
-"""What one host keeps on its disk: a log, a vote, a snapshot and the folder's incarnation."""
+"""The durable state of one replica: its log, vote, snapshot and the data folder's incarnation."""
 
 from agateferry_state.journal.files import Files, OsFiles
 from agateferry_state.journal.journal import Journal, JournalSettings
--- a/packages/agateferry-state/agateferry_state/journal/sealed.py
+++ b/packages/agateferry-state/agateferry_state/journal/atomic_files.py
@@ -1,8 +1,8 @@
-"""Small files that are replaced as a whole: the incarnation, the vote and snapshots.
+"""Files that are replaced atomically: the incarnation, the vote and snapshots.
 
-A sealed file holds one frame. It is written under another name, synced, renamed and the folder
-synced, so that after a crash there is either the old content or the new. Since a rename is never
-seen half done, a damaged sealed file has rotted.
+Such a file holds one frame. It is written under a temporary name, synced and renamed, and then the
+folder is synced, so that after a crash the file has either the old content or the new. Since a
+rename is atomic, a damaged file is corrupt and never a torn write.
 """
 
 import struct
@@ -11,20 +11,20 @@
 from agateferry_state.journal.files import Files
 from agateferry_state.journal.frames import encode_frame, scan_frames
 from agateferry_state.journal.messages import Snapshot, Vote
-from agateferry_state.journal.records import ContradictionError
+from agateferry_state.journal.records import CorruptionError
 
 TEMPORARY_SUFFIX = ".tmp"
 TERM = struct.Struct("<Q")
 SNAPSHOT_HEADER = struct.Struct("<QQ")
 
 
-def write_sealed(files: Files, path: Path, payload: bytes) -> None:
-    """Replace a file by one that holds `payload`, synced together with its folder entry."""
+def write_atomically(files: Files, path: Path, payload: bytes) -> None:
+    """Replace a file by one that holds `payload`, and sync the file and its folder entry."""
     files.close(create_synced(files, path, encode_frame(payload)))
 
 
 def create_synced(files: Files, path: Path, content: bytes) -> int:
-    """Replace a file by `content`, synced, and return a descriptor to append by."""
+    """Replace a file by `content`, sync it, and return an open descriptor for appending."""
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     fd = files.create(temporary)
     try:
@@ -38,11 +38,11 @@
     return fd
 
 
-def read_sealed(files: Files, path: Path) -> bytes:
-    """Return the payload of a sealed file, or raise ContradictionError where it has rotted."""
+def read_single_frame(files: Files, path: Path) -> bytes:
+    """Return the payload of an atomically replaced file; raise CorruptionError if it is damaged."""
     scan = scan_frames(files.read(path))
-    if scan.torn or scan.rotten or len(scan.payloads) != 1:
-        raise ContradictionError(f"{path.name}: bad checksum")
+    if scan.torn or scan.corruption or len(scan.payloads) != 1:
+        raise CorruptionError(f"{path.name}: bad checksum")
     return scan.payloads[0]
 
 
--- a/packages/agateferry-state/agateferry_state/journal/files.py
+++ b/packages/agateferry-state/agateferry_state/journal/files.py
@@ -1,7 +1,7 @@
-"""The few calls to the file system that a journal makes.
+"""The file system calls that a journal makes.
 
-`Files` is a Protocol so that a test can put a full disk or a failing sync behind a journal.
-Every method raises OSError as the system does; the journal turns that into an outcome.
+`Files` is a Protocol so that a test can inject a full disk or a failing sync. Every method raises
+OSError as the operating system does; the journal converts it to a `JournalError`.
 """
 
 import fcntl
@@ -13,55 +13,55 @@
 
 
 class Files(Protocol):
-    """Make, read, write and sync files below one folder."""
+    """Create, read, write and sync files and folders; syncing a folder makes entries durable."""
 
     def make_folder(self, folder: Path) -> None:
-        """Create a folder with its parents and sync the entries that lead to it."""
+        """Create a folder and its missing parents, and sync the folder that contains each."""
 
-    def names(self, folder: Path) -> list[str]:
-        """Return the names of the entries of a folder in order."""
+    def list_names(self, folder: Path) -> list[str]:
+        """Return the names of the entries of a folder, sorted."""
 
     def read(self, path: Path) -> bytes:
         """Return the whole content of a file."""
 
     def create(self, path: Path) -> int:
-        """Create an empty file, replacing any other, and return a descriptor to append by."""
+        """Create an empty file, truncating an existing one; return a descriptor for appending."""
 
     def write(self, fd: int, data: bytes) -> None:
         """Append all of `data`."""
 
     def sync(self, fd: int) -> None:
-        """Return once the content of the file is on the disk."""
+        """Return once the content of the file is durable."""
 
     def sync_folder(self, folder: Path) -> None:
-        """Return once the entries of the folder are on the disk."""
+        """Return once the entries of the folder are durable."""
 
     def rename(self, source: Path, target: Path) -> None:
-        """Give a file another name, replacing what had it."""
+        """Rename a file, replacing an existing target."""
 
     def remove(self, path: Path) -> None:
         """Remove a file."""
 
     def lock(self, path: Path) -> int:
-        """Lock a file for this process alone, or raise BlockingIOError."""
+        """Lock a file exclusively without waiting; raise BlockingIOError if it is locked."""
 
     def close(self, fd: int) -> None:
-        """Close a descriptor and drop its lock."""
+        """Close a descriptor, which releases its lock."""
 
 
 class OsFiles:
-    """Make the calls to the operating system."""
+    """Implement `Files` with the calls of the operating system."""
 
     def make_folder(self, folder: Path) -> None:
-        """Create a folder with its parents and sync the entries that lead to it."""
+        """Create a folder and its missing parents, and sync the folder that contains each."""
         if folder.is_dir():
             return
         self.make_folder(folder.parent)
         folder.mkdir(exist_ok=True)
         self.sync_folder(folder.parent)
 
-    def names(self, folder: Path) -> list[str]:
-        """Return the names of the entries of a folder in order."""
+    def list_names(self, folder: Path) -> list[str]:
+        """Return the names of the entries of a folder, sorted."""
         return sorted(path.name for path in folder.iterdir())
 
     def read(self, path: Path) -> bytes:
@@ -69,21 +69,21 @@
         return path.read_bytes()
 
     def create(self, path: Path) -> int:
-        """Create an empty file, replacing any other, and return a descriptor to append by."""
+        """Create an empty file, truncating an existing one; return a descriptor for appending."""
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, FILE_MODE)
 
     def write(self, fd: int, data: bytes) -> None:
         """Append all of `data`."""
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(fd, rest) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(fd, remaining) :]
 
     def sync(self, fd: int) -> None:
-        """Return once the content of the file is on the disk."""
+        """Return once the content of the file is durable."""
         os.fdatasync(fd)
 
     def sync_folder(self, folder: Path) -> None:
-        """Return once the entries of the folder are on the disk."""
+        """Return once the entries of the folder are durable."""
         fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
@@ -91,7 +91,7 @@
             os.close(fd)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Give a file another name, replacing what had it."""
+        """Rename a file, replacing an existing target."""
         source.rename(target)
 
     def remove(self, path: Path) -> None:
@@ -99,7 +99,7 @@
         path.unlink()
 
     def lock(self, path: Path) -> int:
-        """Lock a file for this process alone, or raise BlockingIOError."""
+        """Lock a file exclusively without waiting; raise BlockingIOError if it is locked."""
         fd = os.open(path, os.O_RDWR | os.O_CREAT, FILE_MODE)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -109,5 +109,5 @@
         return fd
 
     def close(self, fd: int) -> None:
-        """Close a descriptor and drop its lock."""
+        """Close a descriptor, which releases its lock."""
         os.close(fd)
--- a/packages/agateferry-state/agateferry_state/journal/frames.py
+++ b/packages/agateferry-state/agateferry_state/journal/frames.py
@@ -1,13 +1,15 @@
-"""Frames with checksums, and the verdict on bytes that are no frame.
-
-A frame is a header and a payload. The header holds the payload's length, the CRC-32 of the
-length and payload together, and the CRC-32 of the header's first two fields, so that a rotten
-length is told from a frame that was cut short. One frame is one batch: the next one is written
-only after the sync of this one returned. Hence a damaged frame with anything behind it was synced
-and has rotted, whereas a damaged last frame may be the torn write of a crash. A crash leaves it
-short, or with sectors that were never written and read as zeros; a last frame that is whole in
-length, has no such sector and fails its checksum has rotted too. Telling the two apart is the
-point of "Protocol-Aware Recovery for Consensus-Based Storage" (FAST 2018).
+"""Encode and scan frames with checksums, and tell a torn write from corruption.
+
+A frame is a header and a payload. The header holds the payload's length in bytes, the CRC-32 of
+length and payload together, and the CRC-32 of the header's first two fields. The header's own
+checksum distinguishes a corrupt length from a frame that is cut short.
+
+One frame is one batch, and the next frame is written only after the sync of this one returned.
+Hence a damaged frame that is followed by other data was synced and is corrupt, whereas a damaged
+last frame may be a write that a crash interrupted (a torn write). A torn frame is too short, or has
+sectors that were never written and read as zeros. A last frame of full length without such a
+sector that fails its checksum is corrupt too. "Protocol-Aware Recovery for Consensus-Based
+Storage" (FAST 2018) explains why recovery must distinguish the two cases.
 """
 
 import struct
@@ -15,7 +17,7 @@
 from dataclasses import dataclass
 
 HEADER = struct.Struct("<III")
-CHECKED = struct.Struct("<II")
+CHECKED_FIELDS = struct.Struct("<II")
 LENGTH = struct.Struct("<I")
 SECTOR_BYTES = 512
 MAX_PAYLOAD_BYTES = 1 << 30
@@ -23,41 +25,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Scan:
-    """The whole frames of a file and what stands behind them.
+    """The payloads of a file's valid frames, and the kind of damage that follows them, if any.
 
-    `good_bytes` is the length of the whole frames together. `torn` tells that a cut-short last
-    frame follows; `rotten` describes damage that no crash can explain, or is empty.
+    `valid_bytes` is the total length of the valid frames, with their headers. `torn` is true if a
+    torn frame follows them. `corruption` describes damage that no crash explains, or is empty.
     """
 
     payloads: tuple[bytes, ...]
-    good_bytes: int
+    valid_bytes: int
     torn: bool = False
-    rotten: str = ""
+    corruption: str = ""
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """Return `payload` with its header in front."""
+    """Return `payload` after its header; raise ValueError if it is over `MAX_PAYLOAD_BYTES`."""
     if len(payload) > MAX_PAYLOAD_BYTES:
-        raise ValueError(f"a frame of {len(payload)} bytes is over {MAX_PAYLOAD_BYTES}")
-    checked = CHECKED.pack(len(payload), _payload_crc(payload))
-    return checked + LENGTH.pack(zlib.crc32(checked)) + payload
+        raise ValueError(
+            f"frame payload has {len(payload)} bytes; the maximum is {MAX_PAYLOAD_BYTES}"
+        )
+    checked_fields = CHECKED_FIELDS.pack(len(payload), _payload_crc(payload))
+    return checked_fields + LENGTH.pack(zlib.crc32(checked_fields)) + payload
 
 
 def scan_frames(data: bytes) -> Scan:
-    """Read frames until the end of `data` or the first damage, and judge the damage."""
+    """Read frames up to the end of `data` or the first damage, and classify the damage."""
     payloads: list[bytes] = []
     offset = 0
     while offset < len(data):
         payload = frame_at(data, offset)
         if payload is None:
-            return _judge(data, offset, tuple(payloads))
+            return _classify_damage(data, offset, tuple(payloads))
         payloads.append(payload)
         offset += HEADER.size + len(payload)
     return Scan(tuple(payloads), offset)
 
 
 def frame_at(data: bytes, offset: int) -> bytes | None:
-    """Return the payload of the whole and sound frame at `offset`, or None."""
+    """Return the payload of the frame at `offset`, or None unless it is complete and valid."""
     length = _length_at(data, offset)
     if length is None or offset + HEADER.size + length > len(data):
         return None
@@ -75,14 +79,14 @@
     if offset + HEADER.size > len(data):
         return None
     length, _, header_crc = HEADER.unpack_from(data, offset)
-    checked = data[offset : offset + CHECKED.size]
-    return int(length) if zlib.crc32(checked) == header_crc else None
+    checked_fields = data[offset : offset + CHECKED_FIELDS.size]
+    return int(length) if zlib.crc32(checked_fields) == header_crc else None
 
 
-def _judge(data: bytes, offset: int, payloads: tuple[bytes, ...]) -> Scan:
-    """Tell a torn last frame from rot, given that no sound frame stands at `offset`."""
+def _classify_damage(data: bytes, offset: int, payloads: tuple[bytes, ...]) -> Scan:
+    """Classify the bytes from `offset` on, where no valid frame starts, as torn or corrupt."""
     torn = Scan(payloads, offset, torn=True)
-    rotten = Scan(payloads, offset, rotten=f"bad checksum at byte {offset}")
+    corrupt = Scan(payloads, offset, corruption=f"bad checksum at byte {offset}")
     if len(data) - offset < HEADER.size:
         return torn
     length = _length_at(data, offset)
@@ -91,9 +95,9 @@
         if end > len(data):
             return torn
         is_last = end == len(data)
-        return torn if is_last and _has_unwritten_sector(data, offset) else rotten
+        return torn if is_last and _has_unwritten_sector(data, offset) else corrupt
     if not _has_unwritten_sector(data, offset) or _has_frame_after(data, offset):
-        return rotten
+        return corrupt
     return torn
 
 
--- a/packages/agateferry-state/agateferry_state/journal/messages.py
+++ b/packages/agateferry-state/agateferry_state/journal/messages.py
@@ -1,34 +1,34 @@
-"""What goes into a journal and what comes out of it."""
+"""The values that a journal stores and recovers, and its errors."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class JournalErrorKind(StrEnum):
-    """Say why the disk did not do what was asked."""
+    """The reason why a journal failed or refused a call."""
 
     DISK_FULL = "disk-full"
-    """There was no room; nothing of the last batch counts as written."""
+    """The disk or quota is full; treat no part of the last batch as written."""
 
     SYNC_FAILED = "sync-failed"
-    """The device failed to write or sync; nothing of the last batch counts as written."""
+    """The device failed to write or sync (EIO); treat no part of the last batch as written."""
 
     IO_FAILED = "io-failed"
-    """Another call to the file system failed."""
+    """A file system call failed for another reason."""
 
     LOST_DISK = "lost-disk"
-    """What is on the disk contradicts itself, so the whole folder must be given up."""
+    """The content of the folder is corrupt or inconsistent, so the whole folder is unusable."""
 
     LOCKED = "locked"
     """Another process has the folder open."""
 
     CLOSED = "closed"
-    """The journal was closed or failed earlier; it must be opened again."""
+    """The journal was closed or failed before; it must be opened again."""
 
 
 @dataclass(frozen=True, slots=True)
 class JournalError:
-    """Why a journal refused, with the file or call concerned in `detail`."""
+    """An error of a journal; `detail` names the folder, file or operation and the cause."""
 
     kind: JournalErrorKind
     detail: str = ""
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One entry of the log; `kind` belongs to the caller and the journal only keeps it."""
+    """One entry of the log; the journal stores `kind` (0 to 255) but does not interpret it."""
 
     index: int
     term: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """The newest term that a member has seen and the member it voted for in that term."""
+    """The newest term that a member has seen and the member that it voted for, if any, in it."""
 
     term: int = 0
     voted_for: str = ""
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A state that stands for all records up to and with `index`."""
+    """The state after all records up to and including `index`, whose record has term `term`."""
 
     index: int
     term: int
@@ -63,15 +63,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovered:
-    """All that a folder held when it was opened.
+    """The content of a folder when it was opened.
 
-    `records` are in order of index, begin just above `snapshot` and have no gaps. `fresh` tells
-    that the folder was empty and has got a new incarnation. `cut_bytes` counts the bytes of a
-    torn last batch that were dropped; no caller was ever told that they were written.
+    `records` are in order of index, start right after `snapshot` and have no gaps. `is_new` is true
+    if the folder held no journal and got a new incarnation. `cut_bytes` is the number of bytes of a
+    torn last batch that were dropped; no caller was told that this batch was written.
     """
 
     incarnation: str
-    fresh: bool
+    is_new: bool
     vote: Vote
     snapshot: Snapshot | None
     records: tuple[Record, ...]
--- a/packages/agateferry-state/agateferry_state/journal/records.py
+++ b/packages/agateferry-state/agateferry_state/journal/records.py
@@ -1,9 +1,9 @@
-"""The log's records as bytes, and the log that a sequence of batches leaves.
+"""Encode the records of the log, and rebuild the log from the batches of its segments.
 
-A segment file is a sequence of frames. Its first frame holds a base: the index and term of the
-record after which the segment goes on. Every other frame is one batch of records that follow each
-other without a gap. When a follower drops a conflicting tail, it begins a new segment whose base
-is the last record that stays, so that no file is ever cut.
+A segment file is a sequence of frames. The first frame holds the base of the segment: the index
+and term of the record that precedes the segment's first record. Every other frame is one batch of
+records with consecutive indexes. When a follower drops a conflicting tail of its log, it starts a
+new segment whose base is the last record that is kept, so that no file is ever truncated.
 """
 
 import struct
@@ -18,32 +18,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Base:
-    """The index and term just below the first record of a segment."""
+class LogPosition:
+    """The index and term of a record; the base of a segment or log precedes its first record."""
 
     index: int
     term: int
 
 
-class ContradictionError(Exception):
-    """Say that sound frames do not make one log; recovery turns it into a lost disk."""
+class CorruptionError(Exception):
+    """Report a corrupt file or frames that form no consistent log; `open` returns LOST_DISK."""
 
 
-def encode_base(base: Base) -> bytes:
+def encode_base(base: LogPosition) -> bytes:
     """Return the payload of a segment's first frame."""
     return BASE.pack(BASE_MAGIC, base.index, base.term)
 
 
-def decode_base(payload: bytes) -> Base:
-    """Read the payload of a segment's first frame."""
+def decode_base(payload: bytes) -> LogPosition:
+    """Read the payload of a segment's first frame; raise CorruptionError if it is no base."""
     if len(payload) != BASE.size or not payload.startswith(BASE_MAGIC):
-        raise ContradictionError("the segment has no base")
+        raise CorruptionError("segment does not start with a base")
     _, index, term = BASE.unpack(payload)
-    return Base(index, term)
+    return LogPosition(index, term)
 
 
 def encode_batch(records: Iterable[Record]) -> bytes:
-    """Return the payload of one batch."""
+    """Return the records of one batch as the payload of a frame."""
     parts: list[bytes] = []
     for record in records:
         parts.append(RECORD.pack(record.index, record.term, record.kind, len(record.data)))
@@ -52,38 +52,38 @@
 
 
 def decode_batch(payload: bytes) -> list[Record]:
-    """Read the records of one batch."""
+    """Read the records of one batch; raise CorruptionError if the last one is incomplete."""
     records: list[Record] = []
     offset = 0
     while offset < len(payload):
         if offset + RECORD.size > len(payload):
-            raise ContradictionError("a batch ends within a record")
+            raise CorruptionError("batch ends in the middle of a record")
         index, term, kind, length = RECORD.unpack_from(payload, offset)
         offset += RECORD.size
         records.append(Record(index, term, payload[offset : offset + length], kind))
         offset += length
     if offset != len(payload):
-        raise ContradictionError("a batch ends within a record")
+        raise CorruptionError("batch ends in the middle of a record")
     return records
 
 
 class Replay:
-    """Build the log from bases and batches in the order in which they were written."""
+    """Rebuild the log from the bases and batches of the segments, added in order of writing."""
 
-    def __init__(self, base: Base) -> None:
+    def __init__(self, base: LogPosition) -> None:
         self.base = base
         self.records: list[Record] = []
 
     @property
-    def last(self) -> Base:
-        """Return the index and term of the last record, or the base where there is none."""
+    def last(self) -> LogPosition:
+        """Return the position of the last record, or the base if there are no records."""
         if not self.records:
             return self.base
-        return Base(self.records[-1].index, self.records[-1].term)
+        return LogPosition(self.records[-1].index, self.records[-1].term)
 
-    def restart_at(self, base: Base) -> None:
-        """Go on from a segment's base, dropping the records above it, or all if it is unknown."""
-        kept = self.after(base)
+    def restart_at(self, base: LogPosition) -> None:
+        """Continue at a segment's base: drop all records after it, or all if the log lacks it."""
+        kept = self.records_after(base)
         if kept is None:
             self.base = base
             self.records = []
@@ -91,13 +91,13 @@
             del self.records[-len(kept) :]
 
     def add(self, record: Record) -> None:
-        """Add the record that follows the last one."""
+        """Add the next record; raise CorruptionError if its index does not follow the last one."""
         if record.index != self.last.index + 1:
-            raise ContradictionError(f"record {record.index} does not follow {self.last.index}")
+            raise CorruptionError(f"record {record.index} does not follow {self.last.index}")
         self.records.append(record)
 
-    def after(self, base: Base) -> list[Record] | None:
-        """Return the records above a snapshot, or None where the log does not lead through it."""
+    def records_after(self, base: LogPosition) -> list[Record] | None:
+        """Return the records after a position, or None if the log does not contain the position."""
         position = base.index - self.base.index
         if position < 0 or position > len(self.records):
             return None
--- a/packages/agateferry-state/agateferry_state/journal/recovery.py
+++ b/packages/agateferry-state/agateferry_state/journal/recovery.py
@@ -1,25 +1,25 @@
-"""Read what a data folder holds and judge whether it is one sound journal."""
+"""Read the content of a data folder and check that it forms one consistent journal."""
 
 import os
 from dataclasses import dataclass, field
 from pathlib import Path
 
+from agateferry_state.journal.atomic_files import (
+    TEMPORARY_SUFFIX,
+    decode_snapshot,
+    decode_vote,
+    read_single_frame,
+)
 from agateferry_state.journal.files import Files
 from agateferry_state.journal.frames import Scan, scan_frames
 from agateferry_state.journal.messages import Record, Snapshot, Vote
 from agateferry_state.journal.records import (
-    Base,
-    ContradictionError,
+    CorruptionError,
+    LogPosition,
     Replay,
     decode_base,
     decode_batch,
 )
-from agateferry_state.journal.sealed import (
-    TEMPORARY_SUFFIX,
-    decode_snapshot,
-    decode_vote,
-    read_sealed,
-)
 
 LOCK_NAME = "lock"
 INCARNATION_NAME = "incarnation"
@@ -32,19 +32,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """A segment file: its number and the base it goes on from."""
+    """A segment file: its number and its base, the position before its first record."""
 
     number: int
-    base: Base
+    base: LogPosition
 
 
 @dataclass(slots=True)
-class Found:
-    """The content of a sound folder.
+class FolderContent:
+    """The content of a folder without corruption.
 
-    `tail` is the sound part of the newest segment. `is_log_stale` tells that the log does not
-    lead through the snapshot, as after a crash while a leader's snapshot was being installed;
-    then the snapshot stands alone and the log has to begin anew above it.
+    `tail` are the valid frames of the newest segment. `is_log_stale` is true if the log does not
+    contain the position of the snapshot, as after a crash while a leader's snapshot was being
+    installed; then the log is dropped and a new one starts right after the snapshot.
     """
 
     incarnation: str
@@ -58,98 +58,105 @@
 
 
 def segment_path(folder: Path, number: int) -> Path:
-    """Return the path of a segment."""
+    """Return the path of the segment with a number."""
     return folder / f"{SEGMENT_PREFIX}{number:0{NUMBER_DIGITS}d}"
 
 
 def snapshot_path(folder: Path, index: int) -> Path:
-    """Return the path of the snapshot that ends at `index`."""
+    """Return the path of the snapshot whose last record is `index`."""
     return folder / f"{SNAPSHOT_PREFIX}{index:0{NUMBER_DIGITS}d}"
 
 
 def new_incarnation() -> str:
-    """Return a name that no other data folder has."""
+    """Return a random incarnation, unique among data folders and processes."""
     return os.urandom(INCARNATION_BYTES).hex()
 
 
-def remove_temporary(files: Files, folder: Path) -> None:
-    """Remove what a crash left half written."""
-    for name in files.names(folder):
+def remove_temporary_files(files: Files, folder: Path) -> None:
+    """Remove temporary files that a crash left behind."""
+    for name in files.list_names(folder):
         if name.endswith(TEMPORARY_SUFFIX):
             files.remove(folder / name)
 
 
-def numbers(files: Files, folder: Path, prefix: str) -> list[int]:
-    """Return the numbers of the files of one sort in order."""
-    found = [name for name in files.names(folder) if name.startswith(prefix)]
-    for name in found:
+def file_numbers(files: Files, folder: Path, prefix: str) -> list[int]:
+    """Return the sorted numbers of the files whose names start with `prefix`.
+
+    A name that does not continue with a number raises CorruptionError.
+    """
+    names = [name for name in files.list_names(folder) if name.startswith(prefix)]
+    for name in names:
         if not name.removeprefix(prefix).isdecimal():
-            raise ContradictionError(f"{name}: no file of the journal has such a name")
-    return sorted(int(name.removeprefix(prefix)) for name in found)
+            raise CorruptionError(f"{name}: not a file name of the journal")
+    return sorted(int(name.removeprefix(prefix)) for name in names)
 
 
-def is_fresh(files: Files, folder: Path) -> bool:
-    """Tell whether the folder has never held a journal.
+def is_uninitialized(files: Files, folder: Path) -> bool:
+    """Tell whether the folder does not hold an initialized journal yet.
 
-    The incarnation is written last when a folder is set up, so a folder with a first segment and
-    no vote or snapshot was left by a crash during its set-up.
+    Initialization writes the incarnation last. A folder with a first segment and no incarnation,
+    vote or snapshot was therefore left by a crash during initialization.
     """
-    names = set(files.names(folder)) - {LOCK_NAME}
+    names = set(files.list_names(folder)) - {LOCK_NAME}
     return INCARNATION_NAME not in names and names <= {segment_path(folder, 1).name}
 
 
-def find(files: Files, folder: Path) -> Found:
-    """Read a folder that has been set up, or raise ContradictionError where it is unsound."""
+def read_folder(files: Files, folder: Path) -> FolderContent:
+    """Read an initialized folder; raise CorruptionError if a file is damaged or missing."""
     try:
-        incarnation = read_sealed(files, folder / INCARNATION_NAME).decode()
-        found = Found(incarnation, _vote(files, folder), _newest_snapshot(files, folder))
+        incarnation = read_single_frame(files, folder / INCARNATION_NAME).decode()
+        folder_content = FolderContent(
+            incarnation, _vote(files, folder), _newest_snapshot(files, folder)
+        )
     except FileNotFoundError as exc:
-        raise ContradictionError(f"{Path(exc.filename).name}: missing") from exc
-    _read_log(files, folder, found)
-    return found
+        raise CorruptionError(f"{Path(exc.filename).name}: missing") from exc
+    _read_log(files, folder, folder_content)
+    return folder_content
 
 
 def _vote(files: Files, folder: Path) -> Vote:
-    if VOTE_NAME not in files.names(folder):
+    if VOTE_NAME not in files.list_names(folder):
         return Vote()
-    return decode_vote(read_sealed(files, folder / VOTE_NAME))
+    return decode_vote(read_single_frame(files, folder / VOTE_NAME))
 
 
 def _newest_snapshot(files: Files, folder: Path) -> Snapshot | None:
-    indexes = numbers(files, folder, SNAPSHOT_PREFIX)
+    indexes = file_numbers(files, folder, SNAPSHOT_PREFIX)
     if not indexes:
         return None
-    return decode_snapshot(read_sealed(files, snapshot_path(folder, indexes[-1])))
+    return decode_snapshot(read_single_frame(files, snapshot_path(folder, indexes[-1])))
 
 
-def _read_log(files: Files, folder: Path, found: Found) -> None:
-    present = numbers(files, folder, SEGMENT_PREFIX)
-    if not present or present != list(range(present[0], present[-1] + 1)):
-        raise ContradictionError("a segment is missing")
+def _read_log(files: Files, folder: Path, folder_content: FolderContent) -> None:
+    segment_numbers = file_numbers(files, folder, SEGMENT_PREFIX)
+    if not segment_numbers or segment_numbers != list(
+        range(segment_numbers[0], segment_numbers[-1] + 1)
+    ):
+        raise CorruptionError("a segment file is missing")
     replay: Replay | None = None
-    for number in present:
+    for number in segment_numbers:
         path = segment_path(folder, number)
         content = files.read(path)
         scan = scan_frames(content)
-        _check_segment(path.name, scan, is_last=number == present[-1])
+        _check_segment(path.name, scan, is_last=number == segment_numbers[-1])
         base = decode_base(scan.payloads[0])
         replay = replay or Replay(base)
         replay.restart_at(base)
         _add_batches(replay, scan.payloads[1:])
-        found.segments.append(Segment(number, base))
-        found.tail = content[: scan.good_bytes]
-        found.cut_bytes = len(content) - scan.good_bytes
+        folder_content.segments.append(Segment(number, base))
+        folder_content.tail = content[: scan.valid_bytes]
+        folder_content.cut_bytes = len(content) - scan.valid_bytes
     assert replay is not None
-    _join(found, replay)
+    _keep_records_after_snapshot(folder_content, replay)
 
 
 def _check_segment(name: str, scan: Scan, is_last: bool) -> None:
-    if scan.rotten:
-        raise ContradictionError(f"{name}: {scan.rotten}")
+    if scan.corruption:
+        raise CorruptionError(f"{name}: {scan.corruption}")
     if scan.torn and not is_last:
-        raise ContradictionError(f"{name}: cut short although a newer segment exists")
+        raise CorruptionError(f"{name}: torn, although a newer segment exists")
     if not scan.payloads:
-        raise ContradictionError(f"{name}: the segment has no base")
+        raise CorruptionError(f"{name}: segment does not start with a base")
 
 
 def _add_batches(replay: Replay, payloads: tuple[bytes, ...]) -> None:
@@ -158,13 +165,15 @@
             replay.add(record)
 
 
-def _join(found: Found, replay: Replay) -> None:
-    """Keep the records above the snapshot."""
-    end = Base(0, 0)
-    if found.snapshot is not None:
-        end = Base(found.snapshot.index, found.snapshot.term)
-    if replay.base.index > end.index:
-        raise ContradictionError(f"the log begins above {replay.base.index} without a snapshot")
-    records = replay.after(end)
-    found.is_log_stale = records is None
-    found.records = records or []
+def _keep_records_after_snapshot(folder_content: FolderContent, replay: Replay) -> None:
+    """Set the records after the snapshot; raise CorruptionError if there is a gap between them."""
+    snapshot_end = LogPosition(0, 0)
+    if folder_content.snapshot is not None:
+        snapshot_end = LogPosition(folder_content.snapshot.index, folder_content.snapshot.term)
+    if replay.base.index > snapshot_end.index:
+        raise CorruptionError(
+            f"the log starts after record {replay.base.index}, without a snapshot up to there"
+        )
+    records = replay.records_after(snapshot_end)
+    folder_content.is_log_stale = records is None
+    folder_content.records = records or []
--- a/packages/agateferry-state/agateferry_state/journal/tests/test_journal.py
+++ b/packages/agateferry-state/agateferry_state/journal/tests/test_journal.py
@@ -16,11 +16,11 @@
 
 
 class FailingFiles(OsFiles):
-    """Raise an error of the system from the calls that a test has named."""
+    """Raise OSError from the calls that a test selects in `fail`, by name and errno."""
 
     def __init__(self):
         self.fail = {}
-        self.fail_renames_to = ""
+        self.fail_rename_to = ""
 
     def write(self, fd, data):
         if "write" in self.fail:
@@ -34,7 +34,7 @@
         super().sync(fd)
 
     def rename(self, source, target):
-        if target.name == self.fail_renames_to:
+        if target.name == self.fail_rename_to:
             raise OSError(errno.EIO, "injected")
         super().rename(source, target)
 
@@ -43,7 +43,7 @@
     return [Record(index, term, b"%d" % index * size) for index in range(first, last + 1)]
 
 
-class JournalCase(testtools.TestCase):
+class JournalTestCase(testtools.TestCase):
     def setUp(self):
         super().setUp()
         folder = tempfile.TemporaryDirectory()
@@ -56,9 +56,9 @@
         self.addCleanup(result.ok[0].close)
         return result.ok
 
-    def reopen(self, journal, **how):
+    def reopen(self, journal, **options):
         journal.close()
-        return self.open(**how)
+        return self.open(**options)
 
     def write(self, journal, *batches):
         for batch in batches:
@@ -68,11 +68,11 @@
     def newest_segment(self):
         return sorted(self.folder.glob("segment-*"))[-1]
 
-    def refusal(self):
+    def open_error_kind(self):
         return Journal.open(self.folder).error.kind
 
 
-class JournalTests(JournalCase):
+class JournalTests(JournalTestCase):
     def test_recovers_what_was_synced(self):
         journal, first = self.open()
         self.write(journal, records(1, 3), records(4, 4, term=2))
@@ -80,29 +80,29 @@
         _, second = self.reopen(journal)
         self.assertEqual(tuple(records(1, 3) + records(4, 4, term=2)), second.records)
         self.assertEqual(Vote(3, "b"), second.vote)
-        self.assertEqual((True, False), (first.fresh, second.fresh))
+        self.assertEqual((True, False), (first.is_new, second.is_new))
         self.assertEqual(first.incarnation, second.incarnation)
 
-    def test_does_not_keep_what_was_not_synced(self):
+    def test_does_not_recover_what_was_not_synced(self):
         journal, _ = self.open()
         journal.append(records(1, 2))
-        _, again = self.reopen(journal)
-        self.assertEqual((), again.records)
+        _, recovered = self.reopen(journal)
+        self.assertEqual((), recovered.records)
 
-    def test_spreads_over_segments_and_replays_them_in_order(self):
+    def test_splits_the_log_into_segments_and_replays_them_in_order(self):
         journal, _ = self.open(segment_bytes=100)
         self.write(journal, *[records(n, n) for n in range(1, 40)])
         self.assertGreater(len(list(self.folder.glob("segment-*"))), 5)
-        _, again = self.reopen(journal)
-        self.assertEqual(tuple(records(1, 39)), again.records)
+        _, recovered = self.reopen(journal)
+        self.assertEqual(tuple(records(1, 39)), recovered.records)
 
     def test_a_replaced_tail_stays_replaced(self):
         journal, _ = self.open()
         self.write(journal, records(1, 6))
         journal.truncate(4)
         self.write(journal, records(4, 4, term=2))
-        journal, again = self.reopen(journal)
-        self.assertEqual(tuple(records(1, 3) + records(4, 4, term=2)), again.records)
+        journal, recovered = self.reopen(journal)
+        self.assertEqual(tuple(records(1, 3) + records(4, 4, term=2)), recovered.records)
         self.write(journal, records(5, 5, term=2))
         _, third = self.reopen(journal)
         self.assertEqual(5, len(third.records))
@@ -113,8 +113,8 @@
         journal.append(records(7, 8))
         journal.truncate(4)
         self.assertEqual(3, journal.sync().ok)
-        _, again = self.reopen(journal)
-        self.assertEqual(tuple(records(1, 3)), again.records)
+        _, recovered = self.reopen(journal)
+        self.assertEqual(tuple(records(1, 3)), recovered.records)
 
     def test_a_tail_that_was_never_synced_is_dropped_in_memory(self):
         journal, _ = self.open()
@@ -123,10 +123,10 @@
         journal.truncate(4)
         self.write(journal, records(4, 4, term=2))
         self.assertEqual(1, len(list(self.folder.glob("segment-*"))))
-        _, again = self.reopen(journal)
-        self.assertEqual(tuple(records(1, 3) + records(4, 4, term=2)), again.records)
+        _, recovered = self.reopen(journal)
+        self.assertEqual(tuple(records(1, 3) + records(4, 4, term=2)), recovered.records)
 
-    def test_refuses_a_gap(self):
+    def test_append_rejects_a_gap(self):
         journal, _ = self.open()
         with testtools.ExpectedException(ValueError):
             journal.append(records(2, 2))
@@ -138,36 +138,36 @@
         _, second = self.open()
         self.assertNotEqual(first.incarnation, second.incarnation)
 
-    def test_two_journals_cannot_have_one_folder(self):
+    def test_two_journals_cannot_open_one_folder(self):
         self.open()
-        self.assertEqual(JournalErrorKind.LOCKED, self.refusal())
+        self.assertEqual(JournalErrorKind.LOCKED, self.open_error_kind())
 
-    def test_set_up_goes_on_after_a_crash_in_it(self):
+    def test_initialization_resumes_after_a_crash(self):
         journal, _ = self.open()
         journal.close()
         (self.folder / "incarnation").unlink()
-        _, again = self.open()
-        self.assertTrue(again.fresh)
+        _, recovered = self.open()
+        self.assertTrue(recovered.is_new)
 
 
-class CompactionTests(JournalCase):
+class CompactionTests(JournalTestCase):
     def test_a_snapshot_replaces_what_it_covers(self):
         journal, _ = self.open(segment_bytes=200)
         self.write(journal, *[records(n, n) for n in range(1, 30)])
         before = len(list(self.folder.glob("segment-*")))
         journal.save_snapshot(Snapshot(20, 1, b"state"))
         self.assertLess(len(list(self.folder.glob("segment-*"))), before)
-        _, again = self.reopen(journal)
-        self.assertEqual(Snapshot(20, 1, b"state"), again.snapshot)
-        self.assertEqual(tuple(records(21, 29)), again.records)
+        _, recovered = self.reopen(journal)
+        self.assertEqual(Snapshot(20, 1, b"state"), recovered.snapshot)
+        self.assertEqual(tuple(records(21, 29)), recovered.records)
 
     def test_a_snapshot_from_a_leader_replaces_the_log(self):
         journal, _ = self.open()
         self.write(journal, records(1, 5))
         journal.install_snapshot(Snapshot(9, 3, b"theirs"))
         self.write(journal, records(10, 11, term=3))
-        journal, again = self.reopen(journal)
-        self.assertEqual(tuple(records(10, 11, term=3)), again.records)
+        journal, recovered = self.reopen(journal)
+        self.assertEqual(tuple(records(10, 11, term=3)), recovered.records)
         journal.save_snapshot(Snapshot(11, 3, b"ours"))
         self.assertEqual(1, len(list(self.folder.glob("segment-*"))))
 
@@ -175,10 +175,10 @@
         files = FailingFiles()
         journal, _ = self.open(files)
         self.write(journal, records(1, 5))
-        files.fail_renames_to = "segment-000000000002"
+        files.fail_rename_to = "segment-000000000002"
         self.assertTrue(journal.install_snapshot(Snapshot(4, 2, b"theirs")).is_error())
-        journal, again = self.reopen(journal)
-        self.assertEqual((Snapshot(4, 2, b"theirs"), ()), (again.snapshot, again.records))
+        journal, recovered = self.reopen(journal)
+        self.assertEqual((Snapshot(4, 2, b"theirs"), ()), (recovered.snapshot, recovered.records))
         self.write(journal, records(5, 5, term=2))
         self.assertEqual(tuple(records(5, 5, term=2)), self.reopen(journal)[1].records)
 
@@ -188,59 +188,59 @@
         journal.truncate(8)
         self.write(journal, records(8, 12, term=2))
         journal.save_snapshot(Snapshot(11, 2, b"state"))
-        _, again = self.reopen(journal)
-        self.assertEqual(tuple(records(12, 12, term=2)), again.records)
+        _, recovered = self.reopen(journal)
+        self.assertEqual(tuple(records(12, 12, term=2)), recovered.records)
 
 
-class TornTests(JournalCase):
+class TornWriteTests(JournalTestCase):
     def test_a_batch_cut_at_any_byte_is_dropped_whole(self):
         journal, _ = self.open()
         self.write(journal, records(1, 2))
-        whole = self.newest_segment().stat().st_size
+        valid_bytes = self.newest_segment().stat().st_size
         self.write(journal, records(3, 4))
         journal.close()
         content = self.newest_segment().read_bytes()
-        for size in range(whole, len(content)):
+        for size in range(valid_bytes, len(content)):
             self.newest_segment().write_bytes(content[:size])
-            journal, again = self.open()
+            journal, recovered = self.open()
             journal.close()
-            self.assertEqual(tuple(records(1, 2)), again.records, size)
-            self.assertEqual(size - whole, again.cut_bytes)
+            self.assertEqual(tuple(records(1, 2)), recovered.records, size)
+            self.assertEqual(size - valid_bytes, recovered.cut_bytes)
 
-    def test_sectors_that_were_never_written_are_a_torn_tail(self):
+    def test_unwritten_sectors_at_the_end_are_a_torn_write(self):
         journal, _ = self.open()
         self.write(journal, records(1, 2))
-        whole = self.newest_segment().stat().st_size
+        valid_bytes = self.newest_segment().stat().st_size
         self.write(journal, records(3, 4, size=2000))
         journal.close()
         content = self.newest_segment().read_bytes()
-        for start in (whole, 1024):
+        for start in (valid_bytes, 1024):
             self.newest_segment().write_bytes(
                 content[:start] + bytes(1024) + content[start + 1024 :]
             )
-            journal, again = self.open()
+            journal, recovered = self.open()
             journal.close()
-            self.assertEqual(tuple(records(1, 2)), again.records)
+            self.assertEqual(tuple(records(1, 2)), recovered.records)
 
-    def test_a_half_written_new_segment_is_no_segment(self):
+    def test_a_partly_written_new_segment_is_ignored(self):
         journal, _ = self.open()
         self.write(journal, records(1, 2))
         (self.folder / "segment-000000000002.tmp").write_bytes(b"half")
-        _, again = self.reopen(journal)
-        self.assertEqual(2, len(again.records))
+        _, recovered = self.reopen(journal)
+        self.assertEqual(2, len(recovered.records))
 
 
-class RotTests(JournalCase):
+class CorruptionTests(JournalTestCase):
     def test_any_flipped_bit_of_a_synced_batch_is_a_lost_disk(self):
         journal, _ = self.open()
         self.write(journal, records(1, 2), records(3, 3), records(4, 5))
         journal.close()
         content = self.newest_segment().read_bytes()
-        for at in range(len(content)):
-            rotten = bytearray(content)
-            rotten[at] ^= 0x10
-            self.newest_segment().write_bytes(rotten)
-            self.assertEqual(JournalErrorKind.LOST_DISK, self.refusal(), at)
+        for position in range(len(content)):
+            corrupt = bytearray(content)
+            corrupt[position] ^= 0x10
+            self.newest_segment().write_bytes(corrupt)
+            self.assertEqual(JournalErrorKind.LOST_DISK, self.open_error_kind(), position)
 
     def test_a_zeroed_middle_is_a_lost_disk(self):
         journal, _ = self.open()
@@ -248,9 +248,9 @@
         journal.close()
         content = self.newest_segment().read_bytes()
         self.newest_segment().write_bytes(content[:512] + bytes(1024) + content[1536:])
-        self.assertEqual(JournalErrorKind.LOST_DISK, self.refusal())
+        self.assertEqual(JournalErrorKind.LOST_DISK, self.open_error_kind())
 
-    def test_rot_in_the_small_files_is_a_lost_disk(self):
+    def test_a_corrupt_vote_incarnation_or_snapshot_is_a_lost_disk(self):
         journal, _ = self.open()
         self.write(journal, records(1, 2))
         journal.save_vote(Vote(1, "a"))
@@ -259,10 +259,10 @@
         for name in ("vote", "incarnation", "snapshot-000000000001"):
             content = (self.folder / name).read_bytes()
             (self.folder / name).write_bytes(content[:-1] + b"?")
-            self.assertEqual(JournalErrorKind.LOST_DISK, self.refusal(), name)
+            self.assertEqual(JournalErrorKind.LOST_DISK, self.open_error_kind(), name)
             (self.folder / name).write_bytes(content)
 
-    def test_a_copy_of_a_file_left_in_the_folder_is_pointed_out(self):
+    def test_a_copy_of_a_file_left_in_the_folder_is_named_in_the_error(self):
         journal, _ = self.open()
         journal.close()
         (self.folder / "segment-000000000001.bak").write_bytes(b"")
@@ -279,11 +279,11 @@
         for path in (segments[2], self.folder / "snapshot-000000000020"):
             content = path.read_bytes()
             path.unlink()
-            self.assertEqual(JournalErrorKind.LOST_DISK, self.refusal(), path.name)
+            self.assertEqual(JournalErrorKind.LOST_DISK, self.open_error_kind(), path.name)
             path.write_bytes(content)
 
 
-class FailureTests(JournalCase):
+class FailureTests(JournalTestCase):
     def check_refuses_until_reopened(self, call, error, kind):
         files = FailingFiles()
         journal, _ = self.open(files)
@@ -294,24 +294,24 @@
         files.fail.clear()
         self.assertEqual(JournalErrorKind.CLOSED, journal.sync().error.kind)
         self.assertEqual(JournalErrorKind.CLOSED, journal.save_vote(Vote(1, "a")).error.kind)
-        journal, again = self.reopen(journal)
-        self.assertEqual(tuple(records(1, 2)), again.records[:2])
-        self.write(journal, records(len(again.records) + 1, len(again.records) + 1))
+        journal, recovered = self.reopen(journal)
+        self.assertEqual(tuple(records(1, 2)), recovered.records[:2])
+        self.write(journal, records(len(recovered.records) + 1, len(recovered.records) + 1))
 
-    def test_a_full_disk_is_an_outcome(self):
+    def test_a_full_disk_is_reported(self):
         self.check_refuses_until_reopened("write", errno.ENOSPC, JournalErrorKind.DISK_FULL)
 
-    def test_a_failed_sync_is_an_outcome(self):
+    def test_a_failed_sync_is_reported(self):
         self.check_refuses_until_reopened("sync", errno.EIO, JournalErrorKind.SYNC_FAILED)
 
-    def test_a_failed_sync_of_the_vote_is_an_outcome(self):
+    def test_a_failed_sync_of_the_vote_is_reported(self):
         files = FailingFiles()
         journal, _ = self.open(files)
         files.fail["sync"] = errno.EIO
         self.assertEqual(JournalErrorKind.SYNC_FAILED, journal.save_vote(Vote(1, "a")).error.kind)
         self.assertEqual(Vote(), self.reopen(journal)[1].vote)
 
-    def test_opening_syncs_what_it_has_read(self):
+    def test_open_syncs_what_it_has_read(self):
         journal, _ = self.open()
         self.write(journal, records(1, 2))
         journal.close()
@@ -320,12 +320,12 @@
         result = Journal.open(self.folder, files)
         self.assertEqual(JournalErrorKind.SYNC_FAILED, result.error.kind)
 
-    def test_a_folder_that_cannot_be_made_is_an_outcome(self):
+    def test_a_folder_that_cannot_be_created_is_reported(self):
         self.folder.parent.parent.mkdir(exist_ok=True)
         self.folder.parent.write_bytes(b"")
-        self.assertEqual(JournalErrorKind.IO_FAILED, self.refusal())
+        self.assertEqual(JournalErrorKind.IO_FAILED, self.open_error_kind())
 
-    def test_a_failed_open_gives_up_the_lock(self):
+    def test_a_failed_open_releases_the_lock(self):
         files = FailingFiles()
         files.fail["sync"] = errno.ENOSPC
         self.assertEqual(JournalErrorKind.DISK_FULL, Journal.open(self.folder, files).error.kind)
--- a/packages/agateferry-state/agateferry_state/members/replacement.py
+++ b/packages/agateferry-state/agateferry_state/members/replacement.py
@@ -2,7 +2,8 @@
 
 Any host with a disk is admitted as a learner, unless an operator removed it or a forced recovery
 excluded it. It replaces a voter that was silent for `replace_after_ms`, or becomes an additional
-voter if that makes the number of voters odd. A replaced voter that returns is admitted as a learner too, with the log that it had.
+voter if that makes the number of voters odd. A replaced voter that returns is admitted as a learner
+too, with the log that it had.
 """
 
 from collections.abc import Collection, Mapping
