--- a/packages/agateferry-state/agateferry_state/records/__init__.py
+++ b/packages/agateferry-state/agateferry_state/records/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' versioned records: teams, jobs and configuration."""
+"""Versioned records that operators write: teams, jobs and the scheduling configuration."""
 
 from agateferry_state.records.checks import parse_put, read_content
 from agateferry_state.records.codec import (
@@ -7,16 +7,6 @@
     encode_put,
     encode_revisions,
 )
-from agateferry_state.records.forms import (
-    ConfigRecord,
-    JobRecord,
-    Kind,
-    Record,
-    Schema,
-    TeamRecord,
-    WeightsRecord,
-    ZoneGuarantee,
-)
 from agateferry_state.records.machine import RecordsMachine
 from agateferry_state.records.messages import (
     Accepted,
@@ -27,6 +17,16 @@
     RecordPut,
     Revision,
 )
+from agateferry_state.records.record_types import (
+    ConfigRecord,
+    JobRecord,
+    Kind,
+    Record,
+    Schema,
+    TeamRecord,
+    WeightsRecord,
+    ZoneGuarantee,
+)
 from agateferry_state.records.schemas import render_content
 from agateferry_state.records.store import RecordStore
 
--- a/packages/agateferry-state/agateferry_state/records/bounds.py
+++ b/packages/agateferry-state/agateferry_state/records/bounds.py
@@ -1,7 +1,7 @@
-"""The border types that the content models of every schema share.
+"""Limits and field types shared by the content models of all schemas.
 
-Models are strict: a number in quotes is no number, unknown fields are errors, and each number has
-an upper bound that no real deployment reaches.
+Models are strict: a quoted number is rejected, unknown fields are errors, and each number has an
+upper bound that no real deployment reaches.
 """
 
 from typing import Annotated
@@ -38,13 +38,16 @@
 
 
 class Content(BaseModel):
-    """The base of all content models."""
+    """Base class of all content models."""
 
     model_config = ConfigDict(strict=True, extra="forbid", frozen=True)
 
 
-def check_total(members: int, accelerators: int) -> None:
-    """Raise ValueError for a demand of more accelerators than any zone could hold."""
+def check_total_accelerators(members: int, accelerators: int) -> None:
+    """Raise ValueError if a request needs more accelerators than any zone could hold.
+
+    `accelerators` is the number for each of its `members`.
+    """
     if members * accelerators > MAX_REQUEST_ACCELERATORS:
         raise ValueError(
             f"members x accelerators is {members * accelerators}; "
--- a/packages/agateferry-state/agateferry_state/records/checks.py
+++ b/packages/agateferry-state/agateferry_state/records/checks.py
@@ -1,6 +1,6 @@
-"""Checks of puts at the border: names, schema versions and contents.
+"""Validate the puts that operators send: names, schema versions and contents.
 
-A put that fails here is refused as a whole and told all of its faults at once.
+A put that fails here is rejected as a whole, with all of its problems listed at once.
 """
 
 import difflib
@@ -12,9 +12,9 @@
 from pydantic import ValidationError
 
 from agateferry_state.records.bounds import Content
-from agateferry_state.records.forms import Kind, Record, Schema
 from agateferry_state.records.messages import ContentProblem, Invalid, RecordPut
-from agateferry_state.records.schemas import MODELS, read
+from agateferry_state.records.record_types import Kind, Record, Schema
+from agateferry_state.records.schemas import MODELS, to_record
 
 MAX_CONTENT_BYTES = 65_536
 MAX_OPERATOR_CHARS = 128
@@ -26,10 +26,10 @@
 
 
 def parse_put(kind: str, name: str, body: Any, operator: str = "") -> Result[RecordPut, Invalid]:
-    """Return the put that a path and a parsed JSON body state, or all that is wrong with it.
+    """Return the put described by a path and a parsed JSON body, or all problems with it.
 
     For example `parse_put("job", "barn-count", {"schema": "v2", "replaces": 0, "content": {}})`.
-    The content is checked too, as far as it can be without the record that it replaces.
+    The content is validated too, without the version that it replaces.
     """
     problems = _name_problems(kind, name) + _body_problems(body)
     if len(operator) > MAX_OPERATOR_CHARS:
@@ -43,11 +43,14 @@
 
 
 def read_content(
-    kind: Kind, schema: Schema, content: dict[str, Any], standing: Record | None
+    kind: Kind, schema: Schema, content: dict[str, Any], current: Record | None
 ) -> Result[Record, Invalid]:
-    """Validate a content and return its internal form on top of the standing record."""
+    """Validate a content and return it as a record.
+
+    `current` is the record that it replaces, or None; fields that `schema` lacks are taken from it.
+    """
     try:
-        size = len(canonical(content))
+        size = len(canonical_json(content))
     except (ValueError, TypeError, RecursionError):
         return _invalid("content", "is not plain JSON; leave out NaN, infinities and deep nesting")
     if size > MAX_CONTENT_BYTES:
@@ -56,23 +59,23 @@
     try:
         valid = model.model_validate(content)
     except ValidationError as exc:
-        faults = exc.errors(include_url=False, include_context=False)
-        return Error(Invalid(tuple(_problem(model, dict(fault)) for fault in faults)))
-    return Ok(read(valid, standing))
+        errors = exc.errors(include_url=False, include_context=False)
+        return Error(Invalid(tuple(_content_problem(model, dict(error)) for error in errors)))
+    return Ok(to_record(valid, current))
 
 
-def canonical(content: Any) -> bytes:
-    """Return JSON whose bytes do not depend on the order of keys or on white space."""
+def canonical_json(content: Any) -> bytes:
+    """Return JSON with sorted keys and no white space, so that equal contents have equal bytes."""
     text = json.dumps(content, sort_keys=True, separators=(",", ":"), allow_nan=False)
     return text.encode()
 
 
 def name_problems(kind: Kind, name: str) -> list[ContentProblem]:
-    """Return what is wrong with the name of a record of a kind."""
+    """Return the problems with the name of a record of a kind, if any."""
     if kind is Kind.CONFIG and name not in CONFIG_NAMES:
         return [ContentProblem("name", f"must be {' or '.join(CONFIG_NAMES)} for kind config")]
     if NAME_PATTERN.fullmatch(name) is None:
-        allowed = "needs 1 to 63 small letters, digits, dots, hyphens and underscores"
+        allowed = "needs 1 to 63 lowercase letters, digits, dots, hyphens and underscores"
         return [ContentProblem("name", f"{allowed}, and begins with a letter or digit")]
     return []
 
@@ -83,18 +86,18 @@
 
 def _name_problems(kind: str, name: str) -> list[ContentProblem]:
     if kind not in list(Kind):
-        return [ContentProblem("kind", f"{_shown(kind)} is not one of {', '.join(Kind)}")]
+        return [ContentProblem("kind", f"{_abbreviated(kind)} is not one of {', '.join(Kind)}")]
     return name_problems(Kind(kind), name)
 
 
 def _body_problems(body: Any) -> list[ContentProblem]:
     if not isinstance(body, dict):
         return [ContentProblem("body", "needs a JSON object with schema, replaces and content")]
-    problems = [_unknown(str(key), BODY_FIELDS) for key in body if key not in BODY_FIELDS]
+    problems = [_unknown_field(str(key), BODY_FIELDS) for key in body if key not in BODY_FIELDS]
     schema = body.get("schema")
     if not isinstance(schema, str) or schema not in list(Schema):
         problems.append(
-            ContentProblem("schema", f"{_shown(schema)} is not one of {', '.join(Schema)}")
+            ContentProblem("schema", f"{_abbreviated(schema)} is not one of {', '.join(Schema)}")
         )
     replaces = body.get("replaces")
     if type(replaces) is not int or not 0 <= replaces <= MAX_VERSION:
@@ -106,22 +109,22 @@
     return problems
 
 
-def _problem(model: type[Content], fault: dict[str, Any]) -> ContentProblem:
-    field = ".".join(str(part) for part in fault["loc"]) or "content"
-    if fault["type"] == "extra_forbidden":
-        return _unknown(field, tuple(model.model_fields))
-    if fault["type"] == "value_error":
-        return ContentProblem(field, fault["msg"].removeprefix("Value error, "))
-    return ContentProblem(field, f"{_shown(fault['input'])}: {fault['msg']}")
+def _content_problem(model: type[Content], error: dict[str, Any]) -> ContentProblem:
+    field = ".".join(str(part) for part in error["loc"]) or "content"
+    if error["type"] == "extra_forbidden":
+        return _unknown_field(field, tuple(model.model_fields))
+    if error["type"] == "value_error":
+        return ContentProblem(field, error["msg"].removeprefix("Value error, "))
+    return ContentProblem(field, f"{_abbreviated(error['input'])}: {error['msg']}")
 
 
-def _unknown(field: str, known: tuple[str, ...]) -> ContentProblem:
-    near = difflib.get_close_matches(field, known, n=1)
-    hint = f"did you mean {near[0]}?" if near else f"allowed are {', '.join(known)}"
+def _unknown_field(field: str, known: tuple[str, ...]) -> ContentProblem:
+    close_names = difflib.get_close_matches(field, known, n=1)
+    hint = f"did you mean {close_names[0]}?" if close_names else f"allowed are {', '.join(known)}"
     return ContentProblem(field[:MAX_SHOWN_CHARS], f"is not known; {hint}")
 
 
-def _shown(value: Any) -> str:
+def _abbreviated(value: Any) -> str:
     try:
         text = repr(value)
     except (ValueError, RecursionError):
--- a/packages/agateferry-state/agateferry_state/records/codec.py
+++ b/packages/agateferry-state/agateferry_state/records/codec.py
@@ -1,8 +1,8 @@
-"""Bytes of revisions, puts and whole stores, for logs, snapshots and messages between hosts.
+"""Encode puts, revisions and whole stores for logs, snapshots and messages between hosts.
 
-The form is JSON, and a snapshot is JSON lines. What is decoded was checked when it was accepted and
-is not checked again, so that a later and stricter check cannot keep a host from reading its own
-state.
+The encoding is JSON, and a snapshot is JSON lines. Decoding does not validate contents again: they
+were validated when they were accepted, and a stricter check in a later release must not keep a host
+from reading its own state.
 """
 
 import json
@@ -10,7 +10,8 @@
 from typing import Any
 
 from agateferry_core.demand import Adjacency, Demand, Shape, Urgency
-from agateferry_state.records.forms import (
+from agateferry_state.records.messages import RecordPut, Revision
+from agateferry_state.records.record_types import (
     ConfigRecord,
     JobRecord,
     Kind,
@@ -20,10 +21,9 @@
     WeightsRecord,
     ZoneGuarantee,
 )
-from agateferry_state.records.messages import RecordPut, Revision
 from agateferry_state.records.schemas import render_content
 
-FORM = 1
+SNAPSHOT_FORMAT = 1
 
 
 def encode_put(put: RecordPut) -> bytes:
@@ -53,8 +53,8 @@
 
 
 def encode_revisions(revisions: Iterable[Revision]) -> bytes:
-    """Return revisions as a message from the records plane to a cell."""
-    return _dump([_revision_fields(one) for one in revisions])
+    """Return revisions in the form in which the records plane sends them to a cell."""
+    return _dump([_revision_fields(revision) for revision in revisions])
 
 
 def decode_revisions(data: bytes) -> tuple[Revision, ...]:
@@ -73,16 +73,18 @@
 
 
 def encode_store(revision: int, lines: Iterable[bytes]) -> bytes:
-    """Return a snapshot: a line with the newest revision number, then one for each revision."""
-    return b"\n".join((_dump({"form": FORM, "revision": revision}), *lines))
+    """Return a snapshot: a line with the newest revision number, then the line of each revision."""
+    return b"\n".join((_dump({"form": SNAPSHOT_FORMAT, "revision": revision}), *lines))
 
 
 def decode_store(data: bytes) -> tuple[int, list[bytes]]:
     """Return the newest revision number of a snapshot and the lines of its revisions."""
     head, *lines = data.split(b"\n")
     fields = json.loads(head)
-    if fields["form"] != FORM:
-        raise ValueError(f"a snapshot of records has form {fields['form']}, known is {FORM}")
+    if fields["form"] != SNAPSHOT_FORMAT:
+        raise ValueError(
+            f"records snapshot has format {fields['form']}; only {SNAPSHOT_FORMAT} is supported"
+        )
     return int(fields["revision"]), lines
 
 
--- a/packages/agateferry-state/agateferry_state/records/machine.py
+++ b/packages/agateferry-state/agateferry_state/records/machine.py
@@ -1,4 +1,4 @@
-"""The records plane's state machine: a record store behind a replicated log."""
+"""The replicated state machine of the records plane, which applies puts to a record store."""
 
 from agateferry_state.records.codec import decode_put
 from agateferry_state.records.messages import PutOutcome
@@ -6,9 +6,9 @@
 
 
 class RecordsMachine:
-    """Apply puts from a log to a record store.
+    """Apply puts from a replicated log to a record store.
 
-    For example `replica.propose(encode_put(put))` comes back with what `apply` made of the put.
+    For example, `replica.propose(encode_put(put))` returns the outcome that `apply` returned.
     """
 
     def __init__(self) -> None:
@@ -19,7 +19,7 @@
         return self.store.put(decode_put(command))
 
     def snapshot(self) -> bytes:
-        """Return the whole store in a form that `restore` takes."""
+        """Return the whole store, encoded for `restore`."""
         return self.store.snapshot()
 
     def restore(self, data: bytes) -> None:
--- a/packages/agateferry-state/agateferry_state/records/messages.py
+++ b/packages/agateferry-state/agateferry_state/records/messages.py
@@ -1,16 +1,17 @@
-"""What is asked of the records and what comes back."""
+"""Requests to the record store, and their outcomes."""
 
 from dataclasses import dataclass
 from typing import Any
 
-from agateferry_state.records.forms import Kind, Record, Schema
+from agateferry_state.records.record_types import Kind, Record, Schema
 
 
 @dataclass(frozen=True, slots=True)
 class RecordPut:
-    """Store a new version of a record in place of version `replaces`; 0: there must be none.
+    """A request to store a new version of a record in place of version `replaces`.
 
-    `content` is JSON as the operator stated it, in the form of `schema`.
+    With `replaces` 0, no version may exist yet. `content` is the JSON that the operator sent, in
+    the schema `schema`.
     """
 
     kind: Kind
@@ -25,8 +26,8 @@
 class Revision:
     """One accepted version of one record.
 
-    `number` counts the accepted versions of all records and only goes up. `digest` stands for the
-    content as it was stated, so that a resend can be told from another content.
+    `number` counts the accepted versions of all records and only increases. `digest` is a hash of
+    the content as it was sent, which distinguishes a resent put from one with another content.
     """
 
     number: int
@@ -41,38 +42,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The put is in force; a resend of the same put gets an equal value."""
+    """The put was stored; sending the same put again returns an equal value."""
 
     revision: Revision
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Another version stands; `current` is None when no version of the record does."""
+    """The put replaces a version that is not the current one; `current` is None if none exists."""
 
     current: Revision | None
 
 
 @dataclass(frozen=True, slots=True)
 class ContentProblem:
-    """One fault of a put: the field, and what is wrong with it and allowed instead."""
+    """One problem with a put: the field, what is wrong with it and what is allowed."""
 
     field: str
     detail: str
 
     def __str__(self) -> str:
-        """Return the fault as one line for people."""
+        """Return the problem as one line for operators."""
         return f"{self.field}: {self.detail}"
 
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The put cannot be stored, whatever stands; nothing changed."""
+    """The put is invalid, whatever the current version is; nothing changed."""
 
     problems: tuple[ContentProblem, ...]
 
     def __str__(self) -> str:
-        """Return all faults in one line."""
+        """Return all problems in one line."""
         return "; ".join(str(problem) for problem in self.problems)
 
 
--- a/packages/agateferry-state/agateferry_state/records/forms.py
+++ b/packages/agateferry-state/agateferry_state/records/record_types.py
@@ -1,7 +1,7 @@
-"""The one internal form of records, whatever schema an operator writes.
+"""The types of records, independent of the schema in which an operator writes them.
 
-A record holds all that any schema can say, so that each schema is a view of it and nothing is lost
-when callers of an older and a newer schema take turns.
+A record has every field that any schema has. Each schema is a view of it, so that no field is lost
+when callers of an older and a newer schema update the same record in turn.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Kind(StrEnum):
-    """Say what a record is about."""
+    """The kinds of records."""
 
     TEAM = "team"
     JOB = "job"
@@ -19,7 +19,7 @@
 
 
 class Schema(StrEnum):
-    """Name a schema version that records are read and written in."""
+    """The schema versions in which contents are read and written."""
 
     V1 = "v1"
     V2 = "v2"
@@ -27,19 +27,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneGuarantee:
-    """The shapes that a team is guaranteed in one availability zone."""
+    """The groups of accelerators that a team is guaranteed in one availability zone."""
 
     zone: str
     shapes: tuple[Shape, ...]
 
     def accelerators(self) -> int:
-        """Return how many accelerators the shapes take together."""
+        """Return the total number of accelerators of all shapes."""
         return sum(shape.accelerators * shape.count for shape in self.shapes)
 
 
 @dataclass(frozen=True, slots=True)
 class TeamRecord:
-    """A team: its weight in fair shares, its queue limit and its guarantees by zone."""
+    """A team: its fair-share weight, its limit of queued requests and its guarantees per zone."""
 
     weight: float = 1.0
     max_queued: int = 1_000
@@ -48,9 +48,9 @@
 
 @dataclass(frozen=True, slots=True)
 class JobRecord:
-    """A kind of work: the defaults of its requests and how it may be treated.
+    """A job: the defaults for its requests, and whether they may be retried or preempted.
 
-    A job that is not idempotent runs at most once; `max_attempts` binds idempotent ones only.
+    A job that is not idempotent runs at most once; `max_attempts` applies only to idempotent jobs.
     """
 
     urgency: Urgency = Urgency.NORMAL
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightsRecord:
-    """How much completion time and fragmentation count; the two add up to one."""
+    """The scheduler's weights of completion time and fragmentation, which add up to 1."""
 
     completion_time: float
     fragmentation: float
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigRecord:
-    """The scheduling configuration; None leaves a field at the scheduler's default."""
+    """The scheduling configuration; None means the scheduler's default."""
 
     weights: WeightsRecord | None = None
     urgent_start_ms: int | None = None
--- a/packages/agateferry-state/agateferry_state/records/schema_v1.py
+++ b/packages/agateferry-state/agateferry_state/records/schema_v1.py
@@ -1,8 +1,8 @@
-"""Schema v1: the older contents, which show less than the internal form holds.
+"""Schema v1: the older schema, which lacks some fields of the records.
 
-Reading a v1 content takes what v1 can say from the content and everything else from the record that
-it replaces. So a caller of v1 that reads, changes one field and writes back loses nothing that
-only v2 shows.
+Reading a v1 content takes the fields of v1 from the content and all others from the record that it
+replaces. So a v1 caller that reads a record, changes one field and writes it back keeps the values
+of the fields that only v2 has.
 """
 
 from dataclasses import replace
@@ -22,9 +22,9 @@
     ShareField,
     WeightField,
     ZoneField,
-    check_total,
+    check_total_accelerators,
 )
-from agateferry_state.records.forms import (
+from agateferry_state.records.record_types import (
     ConfigRecord,
     JobRecord,
     TeamRecord,
@@ -34,7 +34,7 @@
 
 
 class JobV1(Content):
-    """A job; urgency is urgent or not, and the demand is flat."""
+    """A job; its urgency is a boolean, and the fields of its demand are not nested."""
 
     urgent: bool = False
     idempotent: bool = False
@@ -46,13 +46,13 @@
     max_attempts: AttemptsField = 3
 
     @model_validator(mode="after")
-    def _total(self) -> Self:
-        check_total(self.members, self.accelerators)
+    def _check_total_accelerators(self) -> Self:
+        check_total_accelerators(self.members, self.accelerators)
         return self
 
 
 class TeamV1(Content):
-    """A team; a zone's guarantee is one group of accelerators within a rack."""
+    """A team; the guarantee in a zone is one number of accelerators."""
 
     weight: WeightField = 1.0
     max_queued: QueuedField = 1_000
@@ -62,14 +62,14 @@
 
 
 class ConfigV1(Content):
-    """The scheduling configuration; only the weight of completion time."""
+    """The scheduling configuration, of which v1 has only the weight of completion time."""
 
     completion_weight: ShareField | None = None
 
 
-def read_job(content: JobV1, standing: JobRecord | None) -> JobRecord:
-    """Return the internal form of a job, with what v1 cannot say from the standing record."""
-    base = standing or JobRecord()
+def read_job(content: JobV1, current: JobRecord | None) -> JobRecord:
+    """Return a job record; fields that v1 lacks are taken from `current` or are the defaults."""
+    base = current or JobRecord()
     return replace(
         base,
         urgency=_urgency(content.urgent, base.urgency),
@@ -82,22 +82,26 @@
     )
 
 
-def _urgency(urgent: bool, standing: Urgency) -> Urgency:
+def _urgency(urgent: bool, current: Urgency) -> Urgency:
     if urgent:
         return Urgency.URGENT
-    return Urgency.NORMAL if standing is Urgency.URGENT else standing
+    return Urgency.NORMAL if current is Urgency.URGENT else current
 
 
-def _demand(content: JobV1, standing: Demand) -> Demand:
-    return replace(standing, members=content.members, accelerators=content.accelerators)
+def _demand(content: JobV1, current: Demand) -> Demand:
+    return replace(current, members=content.members, accelerators=content.accelerators)
 
 
-def read_team(content: TeamV1, standing: TeamRecord | None) -> TeamRecord:
-    """Return the internal form of a team; a zone whose number is unchanged keeps its shapes."""
-    base = standing or TeamRecord()
-    known = {guarantee.zone: guarantee for guarantee in base.guarantees}
+def read_team(content: TeamV1, current: TeamRecord | None) -> TeamRecord:
+    """Return a team record.
+
+    A zone keeps its current shapes if its number of accelerators is unchanged. Otherwise its
+    guarantee becomes one group of accelerators within a rack, or none if the number is 0.
+    """
+    base = current or TeamRecord()
+    current_guarantees = {guarantee.zone: guarantee for guarantee in base.guarantees}
     guarantees = tuple(
-        _guarantee(zone, accelerators, known.get(zone))
+        _guarantee(zone, accelerators, current_guarantees.get(zone))
         for zone, accelerators in sorted(content.guarantee_accelerators.items())
     )
     return replace(
@@ -105,30 +109,30 @@
     )
 
 
-def _guarantee(zone: str, accelerators: int, standing: ZoneGuarantee | None) -> ZoneGuarantee:
-    if standing is not None and standing.accelerators() == accelerators:
-        return standing
+def _guarantee(zone: str, accelerators: int, current: ZoneGuarantee | None) -> ZoneGuarantee:
+    if current is not None and current.accelerators() == accelerators:
+        return current
     if accelerators == 0:
         return ZoneGuarantee(zone, ())
     return ZoneGuarantee(zone, (Shape(accelerators, Adjacency.RACK),))
 
 
-def read_config(content: ConfigV1, standing: ConfigRecord | None) -> ConfigRecord:
-    """Return the internal form of a configuration, with all but the weights as it stands."""
-    base = standing or ConfigRecord()
+def read_config(content: ConfigV1, current: ConfigRecord | None) -> ConfigRecord:
+    """Return a configuration record; all fields but the weights are taken from `current`."""
+    base = current or ConfigRecord()
     return replace(base, weights=_weights(content.completion_weight, base.weights))
 
 
-def _weights(completion: float | None, standing: WeightsRecord | None) -> WeightsRecord | None:
+def _weights(completion: float | None, current: WeightsRecord | None) -> WeightsRecord | None:
     if completion is None:
         return None
-    if standing is not None and standing.completion_time == completion:
-        return standing
+    if current is not None and current.completion_time == completion:
+        return current
     return WeightsRecord(completion, 1.0 - completion)
 
 
-def show_job(record: JobRecord) -> dict[str, Any]:
-    """Return a job as JSON, as far as v1 can show it."""
+def render_job(record: JobRecord) -> dict[str, Any]:
+    """Return the v1 fields of a job as JSON."""
     return {
         "urgent": record.urgency is Urgency.URGENT,
         "idempotent": record.idempotent,
@@ -141,8 +145,8 @@
     }
 
 
-def show_team(record: TeamRecord) -> dict[str, Any]:
-    """Return a team as JSON, each zone's shapes as one sum of accelerators."""
+def render_team(record: TeamRecord) -> dict[str, Any]:
+    """Return a team as JSON, with the total number of guaranteed accelerators of each zone."""
     return {
         "weight": record.weight,
         "max_queued": record.max_queued,
@@ -152,8 +156,8 @@
     }
 
 
-def show_config(record: ConfigRecord) -> dict[str, Any]:
-    """Return a configuration as JSON, as far as v1 can show it."""
+def render_config(record: ConfigRecord) -> dict[str, Any]:
+    """Return the v1 fields of a configuration as JSON."""
     if record.weights is None:
         return {}
     return {"completion_weight": record.weights.completion_time}
--- a/packages/agateferry-state/agateferry_state/records/schema_v2.py
+++ b/packages/agateferry-state/agateferry_state/records/schema_v2.py
@@ -1,4 +1,4 @@
-"""Schema v2: contents that say all that the internal form holds."""
+"""Schema v2: the current schema, which has all fields of the records."""
 
 from dataclasses import asdict
 from typing import Annotated, Any, Self
@@ -24,9 +24,9 @@
     UrgencyField,
     WeightField,
     ZoneField,
-    check_total,
+    check_total_accelerators,
 )
-from agateferry_state.records.forms import (
+from agateferry_state.records.record_types import (
     ConfigRecord,
     JobRecord,
     TeamRecord,
@@ -38,7 +38,7 @@
 
 
 class DemandV2(Content):
-    """What a request of the job asks for when it does not say itself."""
+    """The default demand of the job's requests; accelerators, cores and memory are per member."""
 
     members: MembersField = 1
     accelerators: AcceleratorsField = 0
@@ -47,13 +47,13 @@
     adjacency: AdjacencyField = Adjacency.ANY
 
     @model_validator(mode="after")
-    def _total(self) -> Self:
-        check_total(self.members, self.accelerators)
+    def _check_total_accelerators(self) -> Self:
+        check_total_accelerators(self.members, self.accelerators)
         return self
 
 
 class JobV2(Content):
-    """A job."""
+    """A job, with all fields of its record."""
 
     urgency: UrgencyField = Urgency.NORMAL
     idempotent: bool = False
@@ -65,7 +65,7 @@
 
 
 class ShapeV2(Content):
-    """A guaranteed shape."""
+    """`count` groups of guaranteed accelerators, each placed as close as `adjacency` says."""
 
     accelerators: Annotated[int, Field(ge=1, le=MAX_ACCELERATORS)]
     adjacency: AdjacencyField = Adjacency.WORKER
@@ -73,21 +73,21 @@
 
 
 class ZoneGuaranteeV2(Content):
-    """The shapes guaranteed in one zone."""
+    """The shapes guaranteed to a team in one zone."""
 
     zone: ZoneField
     shapes: Annotated[list[ShapeV2], Field(max_length=MAX_SHAPES)] = []
 
 
 class TeamV2(Content):
-    """A team."""
+    """A team, with all fields of its record."""
 
     weight: WeightField = 1.0
     max_queued: QueuedField = 1_000
     guarantees: Annotated[list[ZoneGuaranteeV2], Field(max_length=MAX_ZONES)] = []
 
     @model_validator(mode="after")
-    def _one_entry_for_each_zone(self) -> Self:
+    def _check_zones_are_unique(self) -> Self:
         zones = [guarantee.zone for guarantee in self.guarantees]
         if len(zones) != len(set(zones)):
             raise ValueError("guarantees name a zone twice; give each zone one entry")
@@ -95,20 +95,20 @@
 
 
 class WeightsV2(Content):
-    """The weights of the two measures."""
+    """The scheduler's weights of completion time and fragmentation, which add up to 1."""
 
     completion_time: ShareField
     fragmentation: ShareField
 
     @model_validator(mode="after")
-    def _add_up_to_one(self) -> Self:
+    def _check_sum(self) -> Self:
         if abs(self.completion_time + self.fragmentation - 1.0) > WEIGHTS_TOLERANCE:
             raise ValueError("weights must add up to 1")
         return self
 
 
 class ConfigV2(Content):
-    """The scheduling configuration."""
+    """The scheduling configuration; None means the scheduler's default."""
 
     weights: WeightsV2 | None = None
     urgent_start_ms: MillisecondsField | None = None
@@ -121,13 +121,13 @@
 
 
 def read_job(content: JobV2) -> JobRecord:
-    """Return the internal form of a job."""
+    """Return a job record."""
     fields = {name: getattr(content, name) for name in JobV2.model_fields}
     return JobRecord(**{**fields, "demand": Demand(**content.demand.model_dump())})
 
 
 def read_team(content: TeamV2) -> TeamRecord:
-    """Return the internal form of a team, its zones in order of their names."""
+    """Return a team record, with its zones sorted by name."""
     guarantees = (
         ZoneGuarantee(entry.zone, tuple(Shape(**shape.model_dump()) for shape in entry.shapes))
         for entry in content.guarantees
@@ -137,14 +137,14 @@
 
 
 def read_config(content: ConfigV2) -> ConfigRecord:
-    """Return the internal form of a configuration."""
+    """Return a configuration record."""
     fields = {name: getattr(content, name) for name in ConfigV2.model_fields}
     if content.weights is not None:
         fields["weights"] = WeightsRecord(**content.weights.model_dump())
     return ConfigRecord(**fields)
 
 
-def show_job(record: JobRecord) -> dict[str, Any]:
+def render_job(record: JobRecord) -> dict[str, Any]:
     """Return a job as JSON."""
     demand = record.demand
     return {
@@ -164,16 +164,16 @@
     }
 
 
-def show_team(record: TeamRecord) -> dict[str, Any]:
+def render_team(record: TeamRecord) -> dict[str, Any]:
     """Return a team as JSON."""
     guarantees = [
-        {"zone": entry.zone, "shapes": [_show_shape(shape) for shape in entry.shapes]}
+        {"zone": entry.zone, "shapes": [_render_shape(shape) for shape in entry.shapes]}
         for entry in record.guarantees
     ]
     return {"weight": record.weight, "max_queued": record.max_queued, "guarantees": guarantees}
 
 
-def _show_shape(shape: Shape) -> dict[str, Any]:
+def _render_shape(shape: Shape) -> dict[str, Any]:
     return {
         "accelerators": shape.accelerators,
         "adjacency": shape.adjacency,
@@ -181,6 +181,6 @@
     }
 
 
-def show_config(record: ConfigRecord) -> dict[str, Any]:
-    """Return a configuration as JSON, without the fields that are at their defaults."""
+def render_config(record: ConfigRecord) -> dict[str, Any]:
+    """Return a configuration as JSON, without the fields that are None."""
     return {name: value for name, value in asdict(record).items() if value is not None}
--- a/packages/agateferry-state/agateferry_state/records/schemas.py
+++ b/packages/agateferry-state/agateferry_state/records/schemas.py
@@ -1,13 +1,13 @@
-"""Choose the reader and the writer of a record's content by its schema.
+"""Convert between records and their contents in each schema.
 
-For example `render_content(record, Schema.V1)` gives what a caller of v1 gets to see of a record.
+For example, `render_content(record, Schema.V1)` returns the fields of a record that v1 has.
 """
 
 from typing import Any, assert_never
 
 from agateferry_state.records import schema_v1, schema_v2
 from agateferry_state.records.bounds import Content
-from agateferry_state.records.forms import (
+from agateferry_state.records.record_types import (
     ConfigRecord,
     JobRecord,
     Kind,
@@ -27,23 +27,23 @@
 
 
 def render_content(record: Record, schema: Schema) -> dict[str, Any]:
-    """Return a record's content as JSON in the form of a schema."""
+    """Return a record's content as JSON in a schema."""
     module: Any = schema_v1 if schema is Schema.V1 else schema_v2
     content: dict[str, Any]
     match record:
         case JobRecord():
-            content = module.show_job(record)
+            content = module.render_job(record)
         case TeamRecord():
-            content = module.show_team(record)
+            content = module.render_team(record)
         case ConfigRecord():
-            content = module.show_config(record)
+            content = module.render_config(record)
         case _:
             assert_never(record)
     return content
 
 
-def read(content: Content, standing: Record | None) -> Record:
-    """Return the internal form of a content that its model has validated."""
+def to_record(content: Content, current: Record | None) -> Record:
+    """Return the record for a validated content; fields that v1 lacks come from `current`."""
     match content:
         case schema_v2.JobV2():
             return schema_v2.read_job(content)
@@ -52,13 +52,13 @@
         case schema_v2.ConfigV2():
             return schema_v2.read_config(content)
         case schema_v1.JobV1():
-            return schema_v1.read_job(content, _as(JobRecord, standing))
+            return schema_v1.read_job(content, _if_instance(JobRecord, current))
         case schema_v1.TeamV1():
-            return schema_v1.read_team(content, _as(TeamRecord, standing))
+            return schema_v1.read_team(content, _if_instance(TeamRecord, current))
         case schema_v1.ConfigV1():
-            return schema_v1.read_config(content, _as(ConfigRecord, standing))
+            return schema_v1.read_config(content, _if_instance(ConfigRecord, current))
     raise TypeError(f"no reader for {type(content).__name__}")
 
 
-def _as(form: type[Any], standing: Record | None) -> Any:
-    return standing if isinstance(standing, form) else None
+def _if_instance(record_type: type[Any], current: Record | None) -> Any:
+    return current if isinstance(current, record_type) else None
--- a/packages/agateferry-state/agateferry_state/records/store.py
+++ b/packages/agateferry-state/agateferry_state/records/store.py
@@ -1,17 +1,17 @@
-"""The store of versioned records, a deterministic function of the puts applied to it.
+"""The store of versioned records; its state depends only on the puts applied to it.
 
-Each record has versions 1, 2, 3 and so on, and each accepted version gets the next number of one
-counter, the revision, which only goes up. A put names the version that it replaces, so that of two
-operators who replace the same version one wins and the other is shown what stands. For example
-two puts with `replaces=0` and different contents give `Accepted` and then `Conflict`.
+Each record has versions 1, 2, 3 and so on. Each accepted version of any record gets the next
+revision number, from one counter that only increases. A put names the version that it replaces, so
+that if two operators replace the same version, one succeeds and the other gets the current version
+back. For example, two puts with `replaces=0` and different contents return `Accepted` and then
+`Conflict`.
 """
 
 import hashlib
 from collections.abc import Iterable
 
 from agateferry_state.records import codec
-from agateferry_state.records.checks import canonical, name_problems, read_content
-from agateferry_state.records.forms import Kind
+from agateferry_state.records.checks import canonical_json, name_problems, read_content
 from agateferry_state.records.messages import (
     Accepted,
     Conflict,
@@ -21,6 +21,7 @@
     RecordPut,
     Revision,
 )
+from agateferry_state.records.record_types import Kind
 
 MAX_RECORDS = 10_000
 MAX_KEPT_VERSIONS = 32
@@ -30,11 +31,11 @@
 
 
 class RecordStore:
-    """Hold every record with its last `MAX_KEPT_VERSIONS` versions.
+    """Store every record with its last `MAX_KEPT_VERSIONS` versions.
 
-    The records plane drives a store by `put`. A zone's cell drives one by `adopt`, with revisions
-    that it copied from the records plane. Each revision is encoded once, when it comes in, so that
-    a snapshot of many does not hold up the loop.
+    The records plane changes its store with `put`. The cell of a zone changes its own with `adopt`,
+    which takes revisions copied from the records plane. Each revision is encoded once, when it is
+    added, so that a snapshot of many revisions does not block the event loop.
     """
 
     def __init__(self) -> None:
@@ -44,15 +45,18 @@
 
     @property
     def revision(self) -> int:
-        """Return the number of the newest revision; it never goes down."""
+        """Return the number of the newest revision, which never decreases; 0 if there is none."""
         return self._revision
 
     def put(self, put: RecordPut) -> PutOutcome:
-        """Store a new version, or tell why not; a resend gets the outcome of the first time."""
+        """Store a new version, or return why not; a resent put gets its first outcome again.
+
+        A put counts as resent while the version that it created is kept.
+        """
         digest = put_digest(put)
-        repeated = self._find_version(put.kind, put.name, put.replaces + 1)
-        if repeated is not None and repeated.digest == digest:
-            return Accepted(repeated)
+        existing = self._find_version(put.kind, put.name, put.replaces + 1)
+        if existing is not None and existing.digest == digest:
+            return Accepted(existing)
         current = self.get(put.kind, put.name)
         if put.replaces != (current.version if current else 0):
             return Conflict(current)
@@ -61,12 +65,12 @@
         return self._accept(put, current, digest)
 
     def get(self, kind: Kind, name: str) -> Revision | None:
-        """Return what stands under a name, or None."""
+        """Return the current revision of a record, or None."""
         versions = self._versions.get((kind, name))
         return versions[-1] if versions else None
 
     def current_revisions(self, kind: Kind) -> tuple[Revision, ...]:
-        """Return what stands of a kind, in order of names."""
+        """Return the current revision of each record of a kind, sorted by name."""
         current = (versions[-1] for key, versions in self._versions.items() if key[0] is kind)
         return tuple(sorted(current, key=lambda revision: revision.name))
 
@@ -75,9 +79,10 @@
         return tuple(self._versions.get((kind, name), ()))
 
     def since(self, revision: int, limit: int = BATCH_REVISIONS) -> tuple[Revision, ...]:
-        """Return the oldest `limit` kept revisions after `revision`, in order of numbers.
+        """Return the oldest `limit` kept revisions after `revision`, sorted by number.
 
-        Whoever adopts them and asks again from the last one on ends with what stands here.
+        A store that adopts them and repeats the call with its new revision until nothing is
+        returned has the same current revisions as this one.
         """
         if revision >= self._revision:
             return ()
@@ -85,23 +90,23 @@
         return tuple(sorted(newer, key=lambda one: one.number)[:limit])
 
     def adopt(self, revisions: Iterable[Revision]) -> tuple[Revision, ...]:
-        """Take in revisions that the records plane accepted; return those that were new here.
+        """Add revisions that the records plane accepted, and return those that were new.
 
-        A revision that is not newer than all that is known here is passed over.
+        Revisions whose numbers are not above the store's own newest one are ignored.
         """
-        changes = []
-        for one in sorted(revisions, key=lambda revision: revision.number):
-            if one.number > self._revision:
-                self._append(one, codec.encode_revision(one))
-                changes.append(one)
-        return tuple(changes)
+        added = []
+        for revision in sorted(revisions, key=lambda each: each.number):
+            if revision.number > self._revision:
+                self._append(revision, codec.encode_revision(revision))
+                added.append(revision)
+        return tuple(added)
 
     def snapshot(self) -> bytes:
-        """Return the whole store in a form that `restore` takes."""
+        """Return the whole store, encoded for `restore`."""
         return codec.encode_store(self._revision, self._lines.values())
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole store by a snapshot, which must not be older than the store."""
+        """Replace the whole store by a snapshot; raise ValueError if it is older than the store."""
         revision, lines = codec.decode_store(data)
         if revision < self._revision:
             raise ValueError(f"a snapshot of revision {revision} is older than {self._revision}")
@@ -117,20 +122,20 @@
 
     def _new_name_problems(self, put: RecordPut) -> list[ContentProblem]:
         if len(self._versions) >= MAX_RECORDS:
-            return [ContentProblem("name", f"there are {MAX_RECORDS} records, the most allowed")]
+            return [ContentProblem("name", f"there are already {MAX_RECORDS} records, the maximum")]
         return name_problems(put.kind, put.name)
 
     def _accept(self, put: RecordPut, current: Revision | None, digest: str) -> PutOutcome:
-        standing = current.record if current else None
-        read = read_content(put.kind, put.schema, put.content, standing)
-        if read.is_error():
-            return read.error
+        current_record = current.record if current else None
+        record = read_content(put.kind, put.schema, put.content, current_record)
+        if record.is_error():
+            return record.error
         revision = Revision(
             self._revision + 1,
             put.kind,
             put.name,
             put.replaces + 1,
-            read.ok,
+            record.ok,
             put.schema,
             digest,
             put.operator,
@@ -148,8 +153,8 @@
 
 
 def put_digest(put: RecordPut) -> str:
-    """Return what tells a resend of a put from another content: a hash of schema and content."""
-    return hashlib.sha256(canonical([put.schema, put.content])).hexdigest()
+    """Return a hash of schema and content, which identifies a resent put."""
+    return hashlib.sha256(canonical_json([put.schema, put.content])).hexdigest()
 
 
 def _newer(versions: list[Revision], revision: int) -> list[Revision]:
--- a/packages/agateferry-state/agateferry_state/records/tests/test_races.py
+++ b/packages/agateferry-state/agateferry_state/records/tests/test_races.py
@@ -18,86 +18,90 @@
 OPERATORS = 4
 SEEDS = 40
 STEPS = 80
-LOST_ANSWERS = 0.3
+REPLY_LOSS_PROBABILITY = 0.3
 
 
 class Operator:
-    """Read, state a content of its own, put it a while later, and repeat what got no answer."""
+    """Read the record, later put a changed content, and resend it if the reply is lost."""
 
     def __init__(self, number, rng):
         self.number = number
         self.rng = rng
-        self.stated = 0
+        self.last_run_ms = 0
         self.pending = None
         self.accepted = []
 
     def act(self, plane):
         if self.pending is None:
             self.pending = self.read(plane)
-        elif self.rng.random() > LOST_ANSWERS:
-            self.take(plane.put(self.pending))
+        elif self.rng.random() > REPLY_LOSS_PROBABILITY:
+            self.handle_outcome(plane.put(self.pending))
         else:
             plane.put(self.pending)
 
     def read(self, plane):
         schema = self.rng.choice(list(Schema))
         current = plane.get(Kind.JOB, NAME)
-        self.stated += OPERATORS
+        self.last_run_ms += OPERATORS
         content = render_content(current.record, schema) | {
-            "declared_run_ms": self.stated + self.number
+            "declared_run_ms": self.last_run_ms + self.number
         }
         return RecordPut(Kind.JOB, NAME, schema, current.version, content)
 
-    def take(self, outcome):
+    def handle_outcome(self, outcome):
         if isinstance(outcome, Accepted):
             revision = outcome.revision
             self.accepted.append((revision.version, revision.record.declared_run_ms))
         self.pending = None
 
-    def settle(self, plane):
+    def finish(self, plane):
         if self.pending is not None:
-            self.take(plane.put(self.pending))
+            self.handle_outcome(plane.put(self.pending))
 
 
 class RaceTests(testtools.TestCase):
-    def test_each_version_has_one_winner_and_each_winner_learns_of_it(self):
+    def test_each_version_is_accepted_once_and_its_operator_learns_of_it(self):
         for seed in range(SEEDS):
-            self.race(random.Random(seed), seed)
+            self.run_race(random.Random(seed), seed)
 
-    def race(self, rng, seed):
+    def run_race(self, rng, seed):
         plane, cell = RecordStore(), RecordStore()
         plane.put(RecordPut(Kind.JOB, NAME, Schema.V2, 0, {"declared_run_ms": 1}))
         operators = [Operator(number, rng) for number in range(OPERATORS)]
         for _ in range(STEPS):
             rng.choice(operators).act(plane)
             if rng.random() < 0.1:
-                plane = self.restarted(plane)
+                plane = self.restore_copy(plane)
             if rng.random() < 0.2:
-                cell = self.copied(plane, cell, rng)
+                cell = self.copy_to_cell(plane, cell, rng)
         for operator in operators:
-            operator.settle(plane)
-        won = dict(one for operator in operators for one in operator.accepted)
-        self.assertEqual(sum(len(operator.accepted) for operator in operators), len(won), seed)
-        self.assertEqual(list(range(2, plane.revision + 1)), sorted(won), seed)
+            operator.finish(plane)
+        accepted_run_ms = dict(one for operator in operators for one in operator.accepted)
+        self.assertEqual(
+            sum(len(operator.accepted) for operator in operators), len(accepted_run_ms), seed
+        )
+        self.assertEqual(list(range(2, plane.revision + 1)), sorted(accepted_run_ms), seed)
         for revision in plane.history(Kind.JOB, NAME)[1:]:
-            self.assertEqual(won[revision.version], revision.record.declared_run_ms, seed)
+            self.assertEqual(
+                accepted_run_ms[revision.version], revision.record.declared_run_ms, seed
+            )
 
-    def restarted(self, store):
+    def restore_copy(self, store):
         copy = RecordStore()
         copy.restore(store.snapshot())
         return copy
 
-    def copied(self, plane, cell, rng):
+    def copy_to_cell(self, plane, cell, rng):
         before = cell.revision
         batch = list(decode_revisions(encode_revisions(plane.since(rng.randint(0, before), 9))))
         rng.shuffle(batch)
         cell.adopt(batch)
         self.assertGreaterEqual(cell.revision, before)
-        return self.restarted(cell) if rng.random() < 0.3 else cell
+        return self.restore_copy(cell) if rng.random() < 0.3 else cell
 
 
 class EqualVersionTests(testtools.TestCase):
-    def test_one_winner_whoever_comes_first(self):
+    def test_the_first_of_two_puts_is_accepted_in_either_order(self):
         for first, second in ((5, 6), (6, 5)):
             store = RecordStore()
             puts = [
--- a/packages/agateferry-state/agateferry_state/records/tests/test_schemas.py
+++ b/packages/agateferry-state/agateferry_state/records/tests/test_schemas.py
@@ -44,8 +44,8 @@
 ).map(lambda zones: tuple(ZoneGuarantee(zone, zones[zone]) for zone in sorted(zones)))
 TEAMS = st.builds(TeamRecord, st.floats(0.001, 1000.0), st.integers(0, 10**6), GUARANTEES)
 WEIGHTS = st.floats(0.0, 1.0).map(lambda share: WeightsRecord(share, 1.0 - share))
-NUMBERS = st.none() | st.integers(1, 100)
-CONFIGS = st.builds(ConfigRecord, st.none() | WEIGHTS, *([NUMBERS] * 7))
+OPTIONAL_NUMBERS = st.none() | st.integers(1, 100)
+CONFIGS = st.builds(ConfigRecord, st.none() | WEIGHTS, *([OPTIONAL_NUMBERS] * 7))
 KINDS = {JobRecord: Kind.JOB, TeamRecord: Kind.TEAM, ConfigRecord: Kind.CONFIG}
 
 
@@ -61,21 +61,21 @@
 class RoundTripTests(testtools.TestCase):
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(st.one_of(JOBS, TEAMS, CONFIGS))
-    def test_v2_says_all(self, record):
+    def test_v2_has_all_fields(self, record):
         self.assertEqual(
             record, put(RecordStore(), record, render_content(record, Schema.V2), Schema.V2)
         )
 
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(st.one_of(JOBS, TEAMS, CONFIGS))
-    def test_a_v1_read_and_write_back_changes_nothing(self, record):
+    def test_writing_back_what_v1_reads_changes_nothing(self, record):
         store = RecordStore()
         put(store, record, render_content(record, Schema.V2), Schema.V2)
         self.assertEqual(record, put(store, record, render_content(record, Schema.V1), Schema.V1))
 
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(st.one_of(JOBS, TEAMS, CONFIGS))
-    def test_what_v1_wrote_survives_a_v2_read_and_write_back(self, record):
+    def test_writing_back_what_v2_reads_keeps_what_v1_wrote(self, record):
         store = RecordStore()
         content = render_content(record, Schema.V1)
         written = put(store, record, content, Schema.V1)
@@ -84,7 +84,7 @@
 
     @settings(derandomize=True, max_examples=100, deadline=None)
     @given(st.one_of(JOBS, TEAMS, CONFIGS))
-    def test_revisions_survive_the_way_to_a_cell(self, record):
+    def test_revisions_are_unchanged_by_encoding_for_a_cell(self, record):
         store = RecordStore()
         put(store, record, render_content(record, Schema.V2), Schema.V2)
         revisions = store.since(0)
@@ -92,7 +92,7 @@
 
 
 class V1ChangeTests(testtools.TestCase):
-    def test_a_change_by_v1_keeps_what_only_v2_shows(self):
+    def test_a_change_by_v1_keeps_the_fields_that_only_v2_has(self):
         store = RecordStore()
         job = JobRecord(Urgency.LONG, demand=Demand(16, 8, 32, 4096, Adjacency.RACK))
         put(store, job, render_content(job, Schema.V2), Schema.V2)
@@ -101,7 +101,7 @@
         self.assertEqual(Demand(4, 8, 32, 4096, Adjacency.RACK), changed.demand)
         self.assertEqual(Urgency.LONG, changed.urgency)
 
-    def test_a_changed_guarantee_leaves_the_other_zones_shapes(self):
+    def test_a_changed_guarantee_keeps_the_shapes_of_other_zones(self):
         store = RecordStore()
         shapes = (Shape(4, Adjacency.WORKER, 2),)
         team = TeamRecord(guarantees=(ZoneGuarantee("a-1", shapes), ZoneGuarantee("a-2", shapes)))
--- a/packages/agateferry-state/agateferry_state/records/tests/test_store.py
+++ b/packages/agateferry-state/agateferry_state/records/tests/test_store.py
@@ -19,7 +19,7 @@
     return RecordPut(Kind.JOB, name, schema, replaces, {"declared_run_ms": run_ms})
 
 
-def filled(count):
+def store_with_versions(count):
     store = RecordStore()
     for version in range(count):
         store.put(job_put(version, 1 + version))
@@ -27,7 +27,7 @@
 
 
 class PutTests(testtools.TestCase):
-    def test_versions_and_revisions_count_up(self):
+    def test_versions_and_revisions_increase_by_one(self):
         store = RecordStore()
         outcomes = [
             store.put(job_put(0)),
@@ -37,46 +37,46 @@
         numbers = [(one.revision.version, one.revision.number) for one in outcomes]
         self.assertEqual([(1, 1), (2, 2), (1, 3)], numbers)
 
-    def test_of_two_operators_with_equal_versions_one_wins(self):
-        store = filled(1)
+    def test_of_two_puts_that_replace_one_version_only_the_first_succeeds(self):
+        store = store_with_versions(1)
         first, second = store.put(job_put(1, 700)), store.put(job_put(1, 800))
         self.assertIsInstance(first, Accepted)
         self.assertEqual(Conflict(first.revision), second)
         self.assertEqual(2, store.revision)
 
-    def test_a_resend_gets_the_first_answer_also_when_newer_versions_stand(self):
+    def test_a_resent_put_gets_its_first_outcome_even_after_newer_versions(self):
         store = RecordStore()
         first = store.put(job_put(0))
         store.put(job_put(1, 600))
         self.assertEqual(first, store.put(job_put(0)))
         self.assertEqual(2, store.revision)
 
-    def test_a_resend_is_known_by_content_and_not_by_the_order_of_its_keys(self):
+    def test_a_resent_put_is_recognized_whatever_the_order_of_its_keys(self):
         store = RecordStore()
         content = {"urgency": "long", "declared_run_ms": 5}
         first = store.put(RecordPut(Kind.JOB, "j", Schema.V2, 0, content))
-        turned = dict(reversed(content.items()))
-        self.assertEqual(first, store.put(RecordPut(Kind.JOB, "j", Schema.V2, 0, turned)))
+        reordered = dict(reversed(content.items()))
+        self.assertEqual(first, store.put(RecordPut(Kind.JOB, "j", Schema.V2, 0, reordered)))
 
-    def test_other_content_for_a_used_version_is_shown_what_stands(self):
-        store = filled(3)
+    def test_another_content_for_a_used_version_conflicts_with_the_current_one(self):
+        store = store_with_versions(3)
         self.assertEqual(Conflict(store.get(Kind.JOB, "barn-count")), store.put(job_put(0, 999)))
 
-    def test_a_version_that_is_not_there_yet_conflicts(self):
+    def test_replacing_a_version_that_does_not_exist_conflicts(self):
         self.assertEqual(Conflict(None), RecordStore().put(job_put(4)))
 
     def test_an_invalid_content_changes_nothing(self):
-        store = filled(1)
+        store = store_with_versions(1)
         self.assertIsInstance(store.put(job_put(1, -5)), Invalid)
         self.assertEqual((1, 1), (store.revision, len(store.history(Kind.JOB, "barn-count"))))
 
     def test_history_keeps_the_newest_versions(self):
-        versions = [one.version for one in filled(40).history(Kind.JOB, "barn-count")]
+        versions = [one.version for one in store_with_versions(40).history(Kind.JOB, "barn-count")]
         self.assertEqual(list(range(41 - MAX_KEPT_VERSIONS, 41)), versions)
 
 
 class SnapshotTests(testtools.TestCase):
-    def test_a_restored_store_answers_resends_as_before(self):
+    def test_a_restored_store_recognizes_resent_puts(self):
         store = RecordStore()
         first = store.put(job_put(0))
         store.put(RecordPut(Kind.TEAM, "t", Schema.V1, 0, {"guarantee_accelerators": {"z": 8}}))
@@ -88,9 +88,9 @@
         self.assertEqual(store.since(0), copy.since(0))
         self.assertEqual(store.snapshot(), copy.snapshot())
 
-    def test_an_older_snapshot_is_refused(self):
+    def test_an_older_snapshot_is_rejected(self):
         with testtools.ExpectedException(ValueError):
-            filled(2).restore(filled(1).snapshot())
+            store_with_versions(2).restore(store_with_versions(1).snapshot())
 
     def test_replicas_that_restore_midway_agree(self):
         whole, late = RecordsMachine(), RecordsMachine()
@@ -105,21 +105,21 @@
 
 
 class AdoptTests(testtools.TestCase):
-    def test_a_cell_copies_what_is_new(self):
-        plane, cell = filled(3), RecordStore()
+    def test_adopt_adds_only_new_revisions(self):
+        plane, cell = store_with_versions(3), RecordStore()
         self.assertEqual(plane.since(0), cell.adopt(plane.since(0)))
         self.assertEqual((), cell.adopt(plane.since(0)))
         self.assertEqual((3, ()), (cell.revision, plane.since(cell.revision)))
 
-    def test_a_cell_catches_up_in_batches_over_versions_no_longer_kept(self):
-        plane, cell = filled(100), RecordStore()
+    def test_a_cell_catches_up_in_batches_although_old_versions_are_dropped(self):
+        plane, cell = store_with_versions(100), RecordStore()
         while batch := plane.since(cell.revision, 7):
             cell.adopt(batch)
         self.assertEqual(plane.get(Kind.JOB, "barn-count"), cell.get(Kind.JOB, "barn-count"))
 
-    def test_the_revision_never_goes_down(self):
-        plane, cell = filled(5), RecordStore()
+    def test_the_revision_never_decreases(self):
+        plane, cell = store_with_versions(5), RecordStore()
         cell.adopt(plane.since(0))
-        self.assertEqual((), cell.adopt(filled(2).since(0)))
-        shown = render_content(cell.get(Kind.JOB, "barn-count").record, Schema.V2)
-        self.assertEqual((5, 5), (cell.revision, shown["declared_run_ms"]))
+        self.assertEqual((), cell.adopt(store_with_versions(2).since(0)))
+        content = render_content(cell.get(Kind.JOB, "barn-count").record, Schema.V2)
+        self.assertEqual((5, 5), (cell.revision, content["declared_run_ms"]))
