--- a/packages/agateferry-state/agateferry_state/journal/atomic_files.py
+++ b/packages/agateferry-state/agateferry_state/journal/atomic_files.py
@@ -24,7 +24,7 @@
 
 
 def create_synced(files: Files, path: Path, content: bytes) -> int:
-    """Replace a file by `content`, sync it, and return an open descriptor for appending."""
+    """Replace a file by `content` durably, and return an open descriptor for appending."""
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     fd = files.create(temporary)
     try:
--- a/packages/agateferry-state/agateferry_state/journal/journal.py
+++ b/packages/agateferry-state/agateferry_state/journal/journal.py
@@ -126,7 +126,7 @@
         return self._failure
 
     def append(self, records: Sequence[Record]) -> None:
-        """Queue records for the next sync; raise ValueError if their indexes leave a gap."""
+        """Queue records for the next sync; raise ValueError unless indexes are consecutive."""
         for record in records:
             self._term_index.add(record.index, record.term)
             self._batch.append(record)
--- a/packages/agateferry-state/agateferry_state/journal/messages.py
+++ b/packages/agateferry-state/agateferry_state/journal/messages.py
@@ -46,7 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """The newest term that a member has seen and the member that it voted for, if any, in it."""
+    """The newest term that a member has seen, and the member that it voted for in this term.
+
+    `voted_for` is empty if it has not voted in this term.
+    """
 
     term: int = 0
     voted_for: str = ""
--- a/packages/agateferry-state/agateferry_state/journal/records.py
+++ b/packages/agateferry-state/agateferry_state/journal/records.py
@@ -82,7 +82,10 @@
         return LogPosition(self.records[-1].index, self.records[-1].term)
 
     def restart_at(self, base: LogPosition) -> None:
-        """Continue at a segment's base: drop all records after it, or all if the log lacks it."""
+        """Continue at a segment's base and drop the records after it.
+
+        If the log does not contain this base, drop the whole log and start at the base.
+        """
         kept = self.records_after(base)
         if kept is None:
             self.base = base
--- a/packages/agateferry-state/agateferry_state/members/admission.py
+++ b/packages/agateferry-state/agateferry_state/members/admission.py
@@ -72,7 +72,7 @@
 
 
 def _remove_older_incarnation(members: Members) -> Members | None:
-    """Remove the older of two voters on one host, which comes first, as `with_voter` appends."""
+    """Remove the older of two voters on one host; newer voters come later in `voters`."""
     for position, voter in enumerate(members.voters):
         newer_voters = members.voters[position + 1 :]
         if any(m.id.host == voter.id.host for m in newer_voters):
