--- a/packages/agateferry-service/agateferry_service/records/plane.py
+++ b/packages/agateferry-service/agateferry_service/records/plane.py
@@ -152,7 +152,9 @@
     kind, schema = Kind(kind_text), Schema(schema_text)
     match req.what:
         case "list":
-            records = [revision_json(revision, schema) for revision in store.all_of(kind)]
+            records = [
+                revision_json(revision, schema) for revision in store.current_revisions(kind)
+            ]
             return pb.QueryReply(body=json.dumps({"records": records}))
         case "history":
             versions = [revision_json(revision, schema) for revision in store.history(kind, name)]
