--- a/packages/agateferry-service/agateferry_service/records/plane.py
+++ b/packages/agateferry-service/agateferry_service/records/plane.py
@@ -22,7 +22,7 @@
     encode_put,
     encode_revisions,
     parse_put,
-    show,
+    render_content,
 )
 from agateferry_state.replica import Replica
 
@@ -136,7 +136,7 @@
         "version": revision.version,
         "revision": revision.number,
         "schema": schema.value,
-        "content": show(revision.record, schema),
+        "content": render_content(revision.record, schema),
     }
 
 
