--- a/packages/agateferry-state/agateferry_state/replication/acks.py
+++ b/packages/agateferry-state/agateferry_state/replication/acks.py
@@ -2,29 +2,29 @@
 
 from agateferry_state.members import MemberId
 from agateferry_state.members.quorum import highest, is_everyone_left, is_majority
-from agateferry_state.replication.leading import Leading, Progress
+from agateferry_state.replication.leader_state import LeaderState, Progress
 from agateferry_state.replication.state import State
 
 
 def note_answer(state: State, sender: MemberId, term: int, round_number: int) -> Progress | None:
     """Note that a peer answered a round of this term, and return its progress."""
-    leading = state.leading
-    if leading is None or term != state.term or sender not in leading.peers:
+    leader_state = state.leader_state
+    if leader_state is None or term != state.term or sender not in leader_state.peers:
         return None
-    progress = leading.peers[sender]
+    progress = leader_state.peers[sender]
     progress.acked_ms = state.now_ms
     progress.acked_round = max(progress.acked_round, round_number)
-    confirm_round(state, leading)
+    confirm_round(state, leader_state)
     return progress
 
 
-def confirm_round(state: State, leading: Leading) -> None:
+def confirm_round(state: State, leader_state: LeaderState) -> None:
     """Extend the lease to the newest round that a quorum answered."""
-    rounds = {peer: progress.acked_round for peer, progress in leading.peers.items()}
-    rounds[state.me.id] = leading.lease.round
+    rounds = {peer: progress.acked_round for peer, progress in leader_state.peers.items()}
+    rounds[state.me.id] = leader_state.lease.round
     members, superseded = state.log.members, state.superseded
     confirmed = highest(
         rounds,
         lambda ids: is_majority(members, ids) or is_everyone_left(members, ids, superseded),
     )
-    leading.lease.confirm(confirmed)
+    leader_state.lease.confirm(confirmed)
--- a/packages/agateferry-state/agateferry_state/replication/core.py
+++ b/packages/agateferry-state/agateferry_state/replication/core.py
@@ -17,11 +17,11 @@
 
 from agateferry_state.members import Member, MemberId, Members
 from agateferry_state.replication import (
-    changing,
     election,
     follower,
     greeting,
     leader,
+    membership_changes,
     requests,
     snapshots,
 )
@@ -134,10 +134,10 @@
     @property
     def match_indexes(self) -> dict[MemberId, int]:
         """Return up to where each member holds the log durably; empty unless this one leads."""
-        leading = self._state.leading
-        if leading is None:
+        leader_state = self._state.leader_state
+        if leader_state is None:
             return {}
-        held = {peer: progress.match_index for peer, progress in leading.peers.items()}
+        held = {peer: progress.match_index for peer, progress in leader_state.peers.items()}
         held[self.me.id] = self._state.log.synced_index
         return held
 
@@ -145,24 +145,24 @@
     def next_deadline_ms(self) -> int:
         """Return when the next `Tick` is due."""
         state = self._state
-        if state.leading is not None:
-            return state.leading.heartbeat_due_ms
+        if state.leader_state is not None:
+            return state.leader_state.heartbeat_due_ms
         if not state.is_voter and state.leader is None:
             return min(state.election_deadline_ms, state.greet_deadline_ms)
         return state.election_deadline_ms
 
     def holds_lease(self, now_ms: int) -> bool:
         """Tell whether this member leads and no other can at `now_ms`."""
-        leading = self._state.leading
-        return leading is not None and leading.lease.is_valid(now_ms)
+        leader_state = self._state.leader_state
+        return leader_state is not None and leader_state.lease.is_valid(now_ms)
 
     def preview_change(self, action: MemberAction, host: str) -> Result[Members, RejectReason]:
         """Return the members after an operator's change, or why it would be refused."""
-        return changing.plan_change(self._state, action, host)
+        return membership_changes.plan_change(self._state, action, host)
 
     def preview_recovery(self, lost: frozenset[MemberId]) -> Result[Members, RejectReason]:
         """Return the members after a forced recovery here, or why it would be refused."""
-        return changing.plan_recovery(self._state, lost)
+        return membership_changes.plan_recovery(self._state, lost)
 
     def step(self, event: Event, now_ms: int) -> list[Effect]:
         """Take one event and return the effects to carry out, in order."""
@@ -190,7 +190,7 @@
         election.on_time(state)
         greeting.on_time(state)
         leader.advance_commit(state)
-        changing.on_time(state)
+        membership_changes.on_time(state)
         self._apply()
         requests.answer_reads(state)
         leader.on_time(state)
@@ -234,9 +234,9 @@
             case TransferLeadership():
                 requests.on_transfer(state)
             case MemberChangeRequested():
-                changing.on_requested(state, event)
+                membership_changes.on_requested(state, event)
             case RecoveryForced():
-                changing.recover(state, event)
+                membership_changes.recover(state, event)
             case BootstrapForced():
                 if state.log.is_empty:
                     greeting.bootstrap(state, forming=False)
--- a/packages/agateferry-state/agateferry_state/replication/effects.py
+++ b/packages/agateferry-state/agateferry_state/replication/effects.py
@@ -5,7 +5,7 @@
 
 from agateferry_state.members.members import MemberId, Members
 from agateferry_state.replication.entries import LogEntry, Snapshot
-from agateferry_state.replication.peers import Message
+from agateferry_state.replication.peer_messages import Message
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/agateferry-state/agateferry_state/replication/follower.py
+++ b/packages/agateferry-state/agateferry_state/replication/follower.py
@@ -30,13 +30,13 @@
         _refuse(state, sender, request)
         return
     is_new = _merge(state, request.entries)
-    following = state.following
+    follower_state = state.follower_state
     last = request.prev_index + len(request.entries)
-    following.verified_index = max(following.verified_index, last)
+    follower_state.verified_index = max(follower_state.verified_index, last)
     state.commit_index = max(state.commit_index, min(request.commit_index, last))
     if is_new:
-        following.unanswered_round = request.round
-    if not is_new or request.round > following.answered_round:
+        follower_state.unanswered_round = request.round
+    if not is_new or request.round > follower_state.answered_round:
         _acknowledge(state, sender, request.round)
 
 
@@ -50,7 +50,7 @@
     index = chunk.meta.index
     if index <= state.commit_index or state.log.term_at(index) == chunk.meta.term:
         state.commit_index = max(state.commit_index, index)
-        state.following.verified_index = max(state.following.verified_index, index)
+        state.follower_state.verified_index = max(state.follower_state.verified_index, index)
         _acknowledge(state, sender, chunk.round)
         return
     snapshots.receive(state, sender, chunk)
@@ -58,16 +58,20 @@
 
 def on_synced(state: State) -> None:
     """Acknowledge entries that became durable."""
-    following = state.following
-    if state.leading is not None or state.leader is None or not following.unanswered_round:
+    follower_state = state.follower_state
+    if (
+        state.leader_state is not None
+        or state.leader is None
+        or not follower_state.unanswered_round
+    ):
         return
-    _acknowledge(state, state.leader, following.unanswered_round)
-    if state.log.synced_index >= following.verified_index:
-        following.unanswered_round = 0
+    _acknowledge(state, state.leader, follower_state.unanswered_round)
+    if state.log.synced_index >= follower_state.verified_index:
+        follower_state.unanswered_round = 0
 
 
 def _follow(state: State, term: int, leader: MemberId) -> None:
-    if state.leading is not None and term == state.term:
+    if state.leader_state is not None and term == state.term:
         raise ValueError(f"{leader} leads in term {term} besides {state.me.id}")
     state.become_follower(term, leader)
     state.heard_ms = state.now_ms
@@ -90,16 +94,16 @@
 
 
 def _acknowledge(state: State, leader: MemberId, round_number: int) -> None:
-    match = min(state.log.synced_index, state.following.verified_index)
-    state.following.answered_round = max(state.following.answered_round, round_number)
+    match = min(state.log.synced_index, state.follower_state.verified_index)
+    state.follower_state.answered_round = max(state.follower_state.answered_round, round_number)
     response = AppendResponse(state.term, round_number, success=True, match_index=match)
     state.send(leader, response)
 
 
 def _answer_with_committed(state: State, sender: MemberId, request: AppendRequest) -> None:
     """Answer a request from before the log's start: what is committed agrees with any leader."""
-    following = state.following
-    following.verified_index = max(following.verified_index, state.commit_index)
+    follower_state = state.follower_state
+    follower_state.verified_index = max(follower_state.verified_index, state.commit_index)
     _acknowledge(state, sender, request.round)
 
 
--- a/packages/agateferry-state/agateferry_state/replication/greeting.py
+++ b/packages/agateferry-state/agateferry_state/replication/greeting.py
@@ -12,7 +12,7 @@
 from agateferry_state.members.admission import bootstrap_host
 from agateferry_state.replication import leader
 from agateferry_state.replication.messages import Greeting, GreetingRequest
-from agateferry_state.replication.state import Present, Role, State
+from agateferry_state.replication.state import ConfirmedMember, Role, State
 
 GREETING_INTERVAL_MS = 600
 GREETING_VALID_MS = 3000
@@ -42,7 +42,9 @@
     nonce, asked_ms = state.nonces.get(sender, (0, 0))
     if nonce == greeting.nonce and state.now_ms - asked_ms <= GREETING_VALID_MS:
         del state.nonces[sender]
-        state.present[sender.host] = Present(greeting.member, greeting.is_empty, state.now_ms)
+        state.present[sender.host] = ConfirmedMember(
+            greeting.member, greeting.is_empty, state.now_ms
+        )
 
 
 def ask(state: State, member_id: MemberId) -> None:
--- a/packages/agateferry-state/agateferry_state/replication/leader.py
+++ b/packages/agateferry-state/agateferry_state/replication/leader.py
@@ -8,7 +8,7 @@
 from agateferry_state.members import MemberId, Members
 from agateferry_state.members.quorum import can_commit, highest, witnesses_needed
 from agateferry_state.replication import acks, snapshots
-from agateferry_state.replication.leading import Leading, Progress
+from agateferry_state.replication.leader_state import LeaderState, Progress
 from agateferry_state.replication.lease import Lease
 from agateferry_state.replication.messages import (
     AppendRequest,
@@ -25,7 +25,7 @@
     state.role = Role.LEADER
     state.leader = state.me.id
     lease = Lease(state.settings.lease_ms, state.now_ms)
-    state.leading = Leading(lease, state.log.last_index + 1, state.now_ms)
+    state.leader_state = LeaderState(lease, state.log.last_index + 1, state.now_ms)
     if members is None:
         append(state, EntryKind.NOOP, b"")
     else:
@@ -34,52 +34,52 @@
 
 def append(state: State, kind: EntryKind, data: bytes) -> LogEntry:
     """Append an entry of the own term; followers get it at the end of the step."""
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         raise ValueError("only a leader appends")
     entry = LogEntry(state.log.last_index + 1, state.term, kind, data)
     state.emit(state.log.append((entry,)))
     if kind is not EntryKind.COMMAND:
-        leading.follow_members(state.log.members, state.me.id, entry.index)
+        leader_state.follow_members(state.log.members, state.me.id, entry.index)
     return entry
 
 
 def check_quorum(state: State) -> None:
     """Step down where no quorum answered for the longest election timeout."""
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         return
-    acks.confirm_round(state, leading)
-    silence_ms = state.now_ms - leading.lease.confirmed_ms
+    acks.confirm_round(state, leader_state)
+    silence_ms = state.now_ms - leader_state.lease.confirmed_ms
     if silence_ms > state.settings.election_timeout_max_ms:
         state.become_follower(state.term)
 
 
 def on_time(state: State) -> None:
     """Begin a round of heartbeats where one is due or a read asked for one."""
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         return
-    if leading.transfer_to is not None and state.now_ms > leading.transfer_deadline_ms:
-        leading.transfer_to = None
-    if state.now_ms >= leading.heartbeat_due_ms or leading.wants_round:
-        leading.wants_round = False
-        leading.heartbeat_due_ms = state.now_ms + state.settings.heartbeat_ms
-        leading.lease.begin_round(state.now_ms)
-        for peer, progress in leading.peers.items():
-            _heartbeat(state, leading, peer, progress)
-        acks.confirm_round(state, leading)
+    if leader_state.transfer_to is not None and state.now_ms > leader_state.transfer_deadline_ms:
+        leader_state.transfer_to = None
+    if state.now_ms >= leader_state.heartbeat_due_ms or leader_state.wants_round:
+        leader_state.wants_round = False
+        leader_state.heartbeat_due_ms = state.now_ms + state.settings.heartbeat_ms
+        leader_state.lease.begin_round(state.now_ms)
+        for peer, progress in leader_state.peers.items():
+            _heartbeat(state, leader_state, peer, progress)
+        acks.confirm_round(state, leader_state)
 
 
 def flush(state: State) -> None:
     """Send what is new to every peer that is ready for it, and finish a transfer."""
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         return
-    for peer, progress in leading.peers.items():
-        _send_new(state, leading, peer, progress)
+    for peer, progress in leader_state.peers.items():
+        _send_new(state, leader_state, peer, progress)
     advance_commit(state)
-    _finish_transfer(state, leading)
+    _finish_transfer(state, leader_state)
 
 
 def on_append_response(state: State, sender: MemberId, response: AppendResponse) -> None:
@@ -103,10 +103,10 @@
 
 def advance_commit(state: State) -> None:
     """Commit what enough members hold; entries of older terms only along with a newer one."""
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         return
-    held = {peer: progress.match_index for peer, progress in leading.peers.items()}
+    held = {peer: progress.match_index for peer, progress in leader_state.peers.items()}
     held[state.me.id] = state.log.synced_index
     members = state.log.members
     superseded = state.superseded
@@ -125,29 +125,31 @@
     return state.log.last_index
 
 
-def _heartbeat(state: State, leading: Leading, peer: MemberId, progress: Progress) -> None:
+def _heartbeat(state: State, leader_state: LeaderState, peer: MemberId, progress: Progress) -> None:
     silent_ms = state.now_ms - (progress.acked_ms or 0)
     if progress.in_flight and silent_ms > state.settings.heartbeat_ms:
         progress.retry_from(progress.in_flight[0][0])
         progress.is_probing = True
     progress.is_chunk_in_flight = False
     if snapshots.is_needed(state, progress):
-        snapshots.send_chunk(state, peer, progress, leading.lease.round)
+        snapshots.send_chunk(state, peer, progress, leader_state.lease.round)
     else:
-        _send_entries(state, leading, peer, progress)
+        _send_entries(state, leader_state, peer, progress)
 
 
-def _send_new(state: State, leading: Leading, peer: MemberId, progress: Progress) -> None:
+def _send_new(state: State, leader_state: LeaderState, peer: MemberId, progress: Progress) -> None:
     if snapshots.is_needed(state, progress):
         if not progress.is_chunk_in_flight:
-            snapshots.send_chunk(state, peer, progress, leading.lease.round)
+            snapshots.send_chunk(state, peer, progress, leader_state.lease.round)
         return
     limit = 1 if progress.is_probing else state.settings.max_batches_in_flight
     while progress.next_index <= state.log.last_index and len(progress.in_flight) < limit:
-        _send_entries(state, leading, peer, progress)
+        _send_entries(state, leader_state, peer, progress)
 
 
-def _send_entries(state: State, leading: Leading, peer: MemberId, progress: Progress) -> None:
+def _send_entries(
+    state: State, leader_state: LeaderState, peer: MemberId, progress: Progress
+) -> None:
     cfg = state.settings
     prev_index = progress.next_index - 1
     entries = state.log.batch(progress.next_index, cfg.max_batch_entries, cfg.max_batch_bytes)
@@ -156,7 +158,7 @@
         prev_index=prev_index,
         prev_term=state.log.term_at(prev_index) or 0,
         commit_index=state.commit_index,
-        round=leading.lease.round,
+        round=leader_state.lease.round,
         entries=entries,
     )
     state.send(peer, request)
@@ -165,10 +167,10 @@
         progress.next_index = entries[-1].index + 1
 
 
-def _finish_transfer(state: State, leading: Leading) -> None:
-    if leading.transfer_to is None:
+def _finish_transfer(state: State, leader_state: LeaderState) -> None:
+    if leader_state.transfer_to is None:
         return
-    progress = leading.peers.get(leading.transfer_to)
+    progress = leader_state.peers.get(leader_state.transfer_to)
     if progress is not None and progress.match_index == state.log.last_index:
-        state.send(leading.transfer_to, TimeoutNow(state.term))
+        state.send(leader_state.transfer_to, TimeoutNow(state.term))
         state.become_follower(state.term)
--- a/packages/agateferry-state/agateferry_state/replication/leading.py
+++ b/packages/agateferry-state/agateferry_state/replication/leader_state.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class WaitingRead:
+class PendingRead:
     """A read that waits for the lease, or for a quorum to confirm a round begun after it."""
 
     read_id: int
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Leading:
+class LeaderState:
     """The state of one leadership.
 
     `start_index` is the first entry of the leader's own term; before it is committed nothing is
@@ -60,7 +60,7 @@
     start_index: int
     since_ms: int = 0
     peers: dict[MemberId, Progress] = field(default_factory=dict)
-    reads: list[WaitingRead] = field(default_factory=list)
+    reads: list[PendingRead] = field(default_factory=list)
     heartbeat_due_ms: int = 0
     wants_round: bool = True
     transfer_to: MemberId | None = None
--- a/packages/agateferry-state/agateferry_state/replication/changing.py
+++ b/packages/agateferry-state/agateferry_state/replication/membership_changes.py
@@ -15,7 +15,7 @@
 from agateferry_state.members.replacement import next_replacement, promotable
 from agateferry_state.replication import leader
 from agateferry_state.replication.election import RECOVERY_TERM_STEP
-from agateferry_state.replication.leading import Leading
+from agateferry_state.replication.leader_state import LeaderState
 from agateferry_state.replication.messages import (
     EntryKind,
     MemberAction,
@@ -36,18 +36,18 @@
 
     A leader that was removed stops leading once its removal is committed.
     """
-    leading = state.leading
-    if leading is None or state.now_ms < leading.heartbeat_due_ms:
+    leader_state = state.leader_state
+    if leader_state is None or state.now_ms < leader_state.heartbeat_due_ms:
         return
-    is_settled = not _is_change_open(state, leading)
+    is_settled = not _is_change_open(state, leader_state)
     if is_settled and not state.is_voter:
         state.become_follower(state.term)
         return
     present = {host: p.member for host, p in state.present.items()}
-    caught_up = _caught_up(state, leading) if is_settled else set()
+    caught_up = _caught_up(state, leader_state) if is_settled else set()
     hosts = state.settings.first_host_names
     if state.settings.replaces_hosts:
-        members = _next_by_itself(state, leading, present, caught_up, is_settled)
+        members = _next_by_itself(state, leader_state, present, caught_up, is_settled)
     else:
         members = next_change(state.log.members, present, caught_up, hosts, is_settled)
     if members is not None:
@@ -56,7 +56,7 @@
 
 def _next_by_itself(
     state: State,
-    leading: Leading,
+    leader_state: LeaderState,
     present: dict[str, Member],
     caught_up: set[MemberId],
     is_settled: bool,
@@ -73,8 +73,8 @@
         for host, p in state.present.items()
         if state.now_ms - p.at_ms <= PRESENT_FRESH_MS
     }
-    alive = leading.recently_acked(state.now_ms, state.settings.replace_after_ms)
-    led_ms = state.now_ms - leading.since_ms
+    alive = leader_state.recently_acked(state.now_ms, state.settings.replace_after_ms)
+    led_ms = state.now_ms - leader_state.since_ms
     silent = members.voter_ids - alive - {state.me.id}
     if led_ms < state.settings.replace_after_ms:
         silent = frozenset()
@@ -93,14 +93,14 @@
 
 def plan_change(state: State, action: MemberAction, host: str) -> Result[Members, RejectReason]:
     """Return the members that an operator's change would make, or why it would be refused."""
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         return Error(RejectReason.NOT_LEADER)
-    if _is_change_open(state, leading):
+    if _is_change_open(state, leader_state):
         return Error(RejectReason.BUSY)
     if action is MemberAction.ADMIT:
         return _admitted(state, host)
-    return _removed(state, leading, host)
+    return _removed(state, leader_state, host)
 
 
 def recover(state: State, event: RecoveryForced) -> None:
@@ -132,13 +132,13 @@
     return Ok(Members(voters=(state.me,), removed=old.removed, given_up=given_up))
 
 
-def _is_change_open(state: State, leading: Leading) -> bool:
-    return state.commit_index < max(leading.start_index, state.log.members_index)
+def _is_change_open(state: State, leader_state: LeaderState) -> bool:
+    return state.commit_index < max(leader_state.start_index, state.log.members_index)
 
 
-def _caught_up(state: State, leading: Leading) -> set[MemberId]:
-    recent = leading.recently_acked(state.now_ms, state.settings.election_timeout_min_ms)
-    return {m for m in recent if leading.peers[m].match_index >= state.commit_index}
+def _caught_up(state: State, leader_state: LeaderState) -> set[MemberId]:
+    recent = leader_state.recently_acked(state.now_ms, state.settings.election_timeout_min_ms)
+    return {m for m in recent if leader_state.peers[m].match_index >= state.commit_index}
 
 
 def _admitted(state: State, host: str) -> Result[Members, RejectReason]:
@@ -155,7 +155,7 @@
     return Ok(members.with_learner(present.member))
 
 
-def _removed(state: State, leading: Leading, host: str) -> Result[Members, RejectReason]:
+def _removed(state: State, leader_state: LeaderState, host: str) -> Result[Members, RejectReason]:
     members = state.log.members
     doomed: list[Member] = [m for m in members.all if m.id.host == host]
     if not doomed:
@@ -165,7 +165,7 @@
     for member in doomed:
         members = members.without(member.id)
     members = replace(members, removed=(*(h for h in members.removed if h != host), host))
-    alive = leading.recently_acked(state.now_ms, state.settings.election_timeout_min_ms)
+    alive = leader_state.recently_acked(state.now_ms, state.settings.election_timeout_min_ms)
     alive.add(state.me.id)
     if not is_viable(members) or not can_commit(members, alive, state.superseded):
         return Error(RejectReason.UNSAFE)
--- a/packages/agateferry-state/agateferry_state/replication/messages.py
+++ b/packages/agateferry-state/agateferry_state/replication/messages.py
@@ -54,7 +54,7 @@
     SnapshotMeta,
     StoredState,
 )
-from agateferry_state.replication.peers import (
+from agateferry_state.replication.peer_messages import (
     AppendRequest,
     AppendResponse,
     Greeting,
--- a/packages/agateferry-state/agateferry_state/replication/requests.py
+++ b/packages/agateferry-state/agateferry_state/replication/requests.py
@@ -6,7 +6,7 @@
 """
 
 from agateferry_state.replication import leader
-from agateferry_state.replication.leading import WaitingRead
+from agateferry_state.replication.leader_state import PendingRead
 from agateferry_state.replication.messages import (
     EntryKind,
     ProposalAccepted,
@@ -32,54 +32,54 @@
 
 def on_read(state: State, event: ReadRequested) -> None:
     """Let a read wait until it can be answered, or say whom to ask."""
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         reason = _failed_or(state, RejectReason.NOT_LEADER)
         state.emit(ReadRejected(event.read_id, reason, state.leader))
         return
-    leading.reads.append(WaitingRead(event.read_id, leading.lease.round + 1))
-    if not leading.lease.is_valid(state.now_ms):
-        leading.wants_round = True
+    leader_state.reads.append(PendingRead(event.read_id, leader_state.lease.round + 1))
+    if not leader_state.lease.is_valid(state.now_ms):
+        leader_state.wants_round = True
 
 
 def answer_reads(state: State) -> None:
     """Answer the reads that the lease or a confirmed round allows now."""
-    leading = state.leading
-    if leading is None or state.applied_index < leading.start_index:
+    leader_state = state.leader_state
+    if leader_state is None or state.applied_index < leader_state.start_index:
         return
-    lease = leading.lease
+    lease = leader_state.lease
     waiting = []
-    for read in leading.reads:
+    for read in leader_state.reads:
         if lease.is_valid(state.now_ms):
             state.emit(ReadReady(read.read_id, state.applied_index, lease.valid_until_ms))
         elif lease.confirmed_round >= read.round:
             state.emit(ReadReady(read.read_id, state.applied_index, 0))
         else:
             waiting.append(read)
-    leading.reads = waiting
+    leader_state.reads = waiting
     if waiting and lease.round < max(r.round for r in waiting):
-        leading.wants_round = True
+        leader_state.wants_round = True
 
 
 def on_transfer(state: State) -> None:
     """Begin to hand leadership to the voter that is furthest; new proposals are refused."""
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         return
-    recent = leading.recently_acked(state.now_ms, state.settings.election_timeout_min_ms)
+    recent = leader_state.recently_acked(state.now_ms, state.settings.election_timeout_min_ms)
     voters = state.log.members.voter_ids & recent
     if not voters:
         return
-    best = max(voters, key=lambda m: (leading.peers[m].match_index, m))
-    leading.transfer_to = best
-    leading.transfer_deadline_ms = state.now_ms + state.settings.election_timeout_max_ms
+    best = max(voters, key=lambda m: (leader_state.peers[m].match_index, m))
+    leader_state.transfer_to = best
+    leader_state.transfer_deadline_ms = state.now_ms + state.settings.election_timeout_max_ms
 
 
 def _refusal(state: State) -> RejectReason | None:
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         return _failed_or(state, RejectReason.NOT_LEADER)
-    if leading.transfer_to is not None or state.log.members.is_forming:
+    if leader_state.transfer_to is not None or state.log.members.is_forming:
         return RejectReason.NOT_READY
     unapplied = state.log.last_index - state.applied_index
     if unapplied >= state.settings.max_unapplied_entries:
--- a/packages/agateferry-state/agateferry_state/replication/snapshots.py
+++ b/packages/agateferry-state/agateferry_state/replication/snapshots.py
@@ -9,7 +9,7 @@
 
 from agateferry_state.members import MemberId
 from agateferry_state.replication import acks
-from agateferry_state.replication.leading import Progress
+from agateferry_state.replication.leader_state import Progress
 from agateferry_state.replication.messages import (
     CompactLog,
     InstallSnapshot,
@@ -92,11 +92,11 @@
 
 def receive(state: State, sender: MemberId, chunk: SnapshotChunk) -> None:
     """Collect a chunk from the leader and install the snapshot once it is whole."""
-    following = state.following
-    if following.snapshot_meta != chunk.meta:
-        following.snapshot_meta = chunk.meta
-        following.snapshot_data = bytearray()
-    data = following.snapshot_data
+    follower_state = state.follower_state
+    if follower_state.snapshot_meta != chunk.meta:
+        follower_state.snapshot_meta = chunk.meta
+        follower_state.snapshot_data = bytearray()
+    data = follower_state.snapshot_data
     if chunk.offset == len(data):
         data.extend(chunk.data)
     is_whole = len(data) >= chunk.meta.size
@@ -108,8 +108,8 @@
     response = SnapshotResponse(state.term, chunk.round, chunk.meta.index, len(data), is_whole)
     state.send(sender, response)
     if is_whole:
-        following.snapshot_data = bytearray()
-        following.snapshot_meta = None
+        follower_state.snapshot_data = bytearray()
+        follower_state.snapshot_meta = None
 
 
 def _install(state: State, snapshot: Snapshot) -> None:
@@ -119,5 +119,5 @@
     state.commit_index = index
     state.applied_index = index
     state.snapshot_asked_index = index
-    state.following.verified_index = index
-    state.following.unanswered_round = 0
+    state.follower_state.verified_index = index
+    state.follower_state.unanswered_round = 0
--- a/packages/agateferry-state/agateferry_state/replication/state.py
+++ b/packages/agateferry-state/agateferry_state/replication/state.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 
 from agateferry_state.members import Member, MemberId
-from agateferry_state.replication.leading import Leading
+from agateferry_state.replication.leader_state import LeaderState
 from agateferry_state.replication.log import Log
 from agateferry_state.replication.messages import (
     Effect,
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Following:
+class FollowerState:
     """What a follower knows of the leader's log in the present term.
 
     `verified_index` is the last place up to which both logs are known to agree. `unanswered_round`
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Present:
+class ConfirmedMember:
     """A member that proved to run on its host, and whether its log was empty then."""
 
     member: Member
@@ -77,9 +77,9 @@
     votes: set[MemberId] = field(default_factory=set)
     is_recovery: bool = False
     """Whether this candidate stands because only members with a disk are left."""
-    following: Following = field(default_factory=Following)
-    leading: Leading | None = None
-    present: dict[str, Present] = field(default_factory=dict)
+    follower_state: FollowerState = field(default_factory=FollowerState)
+    leader_state: LeaderState | None = None
+    present: dict[str, ConfirmedMember] = field(default_factory=dict)
     nonces: dict[MemberId, tuple[int, int]] = field(default_factory=dict)
     """For each member that was asked to prove itself, the number sent and when."""
     snapshot_asked_index: int = 0
@@ -131,18 +131,18 @@
         self.stop_leading()
         if term > self.term:
             self.enter_term(term)
-            self.following = Following()
+            self.follower_state = FollowerState()
         if leader != self.leader:
-            self.following = Following()
+            self.follower_state = FollowerState()
         self.role = Role.FOLLOWER
         self.leader = leader
 
     def stop_leading(self) -> None:
         """Drop what belongs to leadership; reads that wait are turned away."""
-        if self.leading is None:
+        if self.leader_state is None:
             return
-        for read in self.leading.reads:
+        for read in self.leader_state.reads:
             self.emit(ReadRejected(read.read_id, RejectReason.NOT_LEADER))
-        self.leading = None
+        self.leader_state = None
         self.leader = None
         self.reset_election_deadline()
