--- a/packages/agateferry-state/agateferry_state/replication/acks.py
+++ b/packages/agateferry-state/agateferry_state/replication/acks.py
@@ -6,7 +6,9 @@
 from agateferry_state.replication.state import State
 
 
-def note_answer(state: State, sender: MemberId, term: int, round_number: int) -> Progress | None:
+def record_response(
+    state: State, sender: MemberId, term: int, round_number: int
+) -> Progress | None:
     """Note that a peer answered a round of this term, and return its progress."""
     leader_state = state.leader_state
     if leader_state is None or term != state.term or sender not in leader_state.peers:
--- a/packages/agateferry-state/agateferry_state/replication/core.py
+++ b/packages/agateferry-state/agateferry_state/replication/core.py
@@ -84,12 +84,12 @@
             now_ms=now_ms,
             commit_index=log.base_index,
             applied_index=log.base_index,
-            heard_ms=now_ms,
-            greet_deadline_ms=now_ms,
+            last_leader_contact_ms=now_ms,
+            greeting_deadline_ms=now_ms,
         )
         self._state.reset_election_deadline()
-        self._announced = (self._state.leader, self._state.term)
-        self._announced_members = log.members
+        self._reported_leadership = (self._state.leader, self._state.term)
+        self._reported_members = log.members
 
     @property
     def me(self) -> Member:
@@ -137,9 +137,11 @@
         leader_state = self._state.leader_state
         if leader_state is None:
             return {}
-        held = {peer: progress.match_index for peer, progress in leader_state.peers.items()}
-        held[self.me.id] = self._state.log.synced_index
-        return held
+        match_indexes = {
+            peer: progress.match_index for peer, progress in leader_state.peers.items()
+        }
+        match_indexes[self.me.id] = self._state.log.synced_index
+        return match_indexes
 
     @property
     def next_deadline_ms(self) -> int:
@@ -148,7 +150,7 @@
         if state.leader_state is not None:
             return state.leader_state.heartbeat_due_ms
         if not state.is_voter and state.leader is None:
-            return min(state.election_deadline_ms, state.greet_deadline_ms)
+            return min(state.election_deadline_ms, state.greeting_deadline_ms)
         return state.election_deadline_ms
 
     def holds_lease(self, now_ms: int) -> bool:
@@ -175,43 +177,43 @@
         leader.check_quorum(state)
         for event in events:
             if state.role is Role.FAILED:
-                self._refuse(event)
+                self._reject(event)
             else:
-                self._take(event)
+                self._handle(event)
         if state.role is not Role.FAILED:
-            self._settle()
-        self._announce()
+            self._run_due_actions()
+        self._report_changes()
         effects, state.effects = state.effects, []
         return effects
 
-    def _settle(self) -> None:
+    def _run_due_actions(self) -> None:
         """Do what is due now, whatever the events were."""
         state = self._state
-        election.on_time(state)
-        greeting.on_time(state)
+        election.campaign_if_timed_out(state)
+        greeting.send_if_due(state)
         leader.advance_commit(state)
-        membership_changes.on_time(state)
+        membership_changes.propose_next_if_due(state)
         self._apply()
         requests.answer_reads(state)
-        leader.on_time(state)
-        leader.flush(state)
+        leader.send_heartbeats_if_due(state)
+        leader.send_pending(state)
         self._apply()
         requests.answer_reads(state)
-        snapshots.ask_when_due(state)
+        snapshots.request_if_due(state)
 
     def _apply(self) -> None:
         state = self._state
         if state.commit_index > state.applied_index:
-            entries = state.log.between(state.applied_index + 1, state.commit_index)
+            entries = state.log.entries_between(state.applied_index + 1, state.commit_index)
             state.emit(Apply(entries))
             state.applied_index = state.commit_index
 
-    def _take(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         state = self._state
         match event:
             case MessageReceived(sender, recipient, message):
-                if self._is_meant(sender, recipient, message):
-                    self._receive(sender, message)
+                if self._should_accept(sender, recipient, message):
+                    self._handle_message(sender, message)
             case Proposed():
                 requests.on_proposed(state, event)
             case ReadRequested():
@@ -225,23 +227,23 @@
                 state.become_follower(state.term)
                 state.role = Role.FAILED
             case _:
-                self._take_order(event)
+                self._handle_operator_event(event)
 
-    def _take_order(self, event: Event) -> None:
+    def _handle_operator_event(self, event: Event) -> None:
         """Take an operator's word."""
         state = self._state
         match event:
             case TransferLeadership():
                 requests.on_transfer(state)
             case MemberChangeRequested():
-                membership_changes.on_requested(state, event)
+                membership_changes.on_change_requested(state, event)
             case RecoveryForced():
-                membership_changes.recover(state, event)
+                membership_changes.force_recovery(state, event)
             case BootstrapForced():
                 if state.log.is_empty:
                     greeting.bootstrap(state, forming=False)
 
-    def _receive(self, sender: MemberId, message: Message) -> None:
+    def _handle_message(self, sender: MemberId, message: Message) -> None:
         state = self._state
         match message:
             case AppendRequest():
@@ -253,7 +255,7 @@
             case VoteResponse():
                 election.on_vote_response(state, sender, message)
             case SnapshotChunk():
-                follower.on_chunk(state, sender, message)
+                follower.on_snapshot_chunk(state, sender, message)
             case SnapshotResponse():
                 snapshots.on_response(state, sender, message)
             case TimeoutNow():
@@ -263,7 +265,7 @@
             case GreetingRequest():
                 greeting.on_request(state, sender, message)
 
-    def _is_meant(self, sender: MemberId, recipient: MemberId, message: Message) -> bool:
+    def _should_accept(self, sender: MemberId, recipient: MemberId, message: Message) -> bool:
         """Tell whether a message is for this incarnation and from one that still runs."""
         state = self._state
         if isinstance(message, Greeting):
@@ -271,11 +273,11 @@
         if recipient != state.me.id:
             return False
         if state.is_superseded(sender):
-            greeting.ask(state, sender)
+            greeting.send_request(state, sender)
             return False
         return True
 
-    def _refuse(self, event: Event) -> None:
+    def _reject(self, event: Event) -> None:
         """Answer what waits for an answer, after the disk failed."""
         match event:
             case Proposed(proposal_id) | MemberChangeRequested(proposal_id):
@@ -286,11 +288,11 @@
             case ReadRequested():
                 requests.on_read(self._state, event)
 
-    def _announce(self) -> None:
+    def _report_changes(self) -> None:
         state = self._state
-        if (state.leader, state.term) != self._announced:
-            self._announced = (state.leader, state.term)
+        if (state.leader, state.term) != self._reported_leadership:
+            self._reported_leadership = (state.leader, state.term)
             state.emit(LeadershipChanged(state.leader, state.term))
-        if state.log.members != self._announced_members:
-            self._announced_members = state.log.members
+        if state.log.members != self._reported_members:
+            self._reported_members = state.log.members
             state.emit(MembersChanged(state.log.members))
--- a/packages/agateferry-state/agateferry_state/replication/election.py
+++ b/packages/agateferry-state/agateferry_state/replication/election.py
@@ -18,7 +18,7 @@
 RECOVERY_TERM_STEP = 1 << 20
 
 
-def on_time(state: State) -> None:
+def campaign_if_timed_out(state: State) -> None:
     """Stand for election where no leader was heard for the drawn time."""
     if state.role is Role.LEADER or state.now_ms < state.election_deadline_ms:
         return
@@ -29,8 +29,8 @@
     state.reset_retry_deadline()
     state.role = Role.PRE_CANDIDATE
     state.votes = {state.me.id}
-    _ask_for_votes(state, state.term + 1, pre_vote=True)
-    _count(state)
+    _request_votes(state, state.term + 1, pre_vote=True)
+    _count_votes(state)
 
 
 def on_timeout_now(state: State, request: TimeoutNow) -> None:
@@ -41,12 +41,12 @@
 
 def on_vote_request(state: State, sender: MemberId, request: VoteRequest) -> None:
     """Grant or refuse a vote."""
-    if _holds_back(state) and not request.transfer:
-        _answer(state, sender, request, granted=False)
+    if _must_withhold_vote(state) and not request.transfer:
+        _respond(state, sender, request, granted=False)
         return
     if request.pre_vote:
         granted = request.term > state.term and _is_up_to_date(state, request)
-        _answer(state, sender, request, granted)
+        _respond(state, sender, request, granted)
         return
     if request.term > state.term:
         state.become_follower(request.term)
@@ -59,7 +59,7 @@
         state.enter_term(state.term, sender)
     if granted:
         state.reset_election_deadline()
-    _answer(state, sender, request, granted)
+    _respond(state, sender, request, granted)
 
 
 def on_vote_response(state: State, sender: MemberId, response: VoteResponse) -> None:
@@ -67,58 +67,58 @@
     if response.term > state.term and not response.granted:
         state.become_follower(response.term)
         return
-    asked = state.term + 1 if response.pre_vote else state.term
+    expected_term = state.term + 1 if response.pre_vote else state.term
     expected = Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE
-    if response.granted and state.role is expected and response.asked_term == asked:
+    if response.granted and state.role is expected and response.asked_term == expected_term:
         state.votes.add(sender)
-        _count(state)
+        _count_votes(state)
 
 
-def _count(state: State) -> None:
+def _count_votes(state: State) -> None:
     members = state.log.members
     if is_majority(members, state.votes):
         if state.role is Role.PRE_CANDIDATE:
             _campaign(state, state.term + 1)
         else:
-            leader.start(state)
+            leader.become_leader(state)
         return
     if not is_everyone_left(members, state.votes, state.superseded):
         return
     if state.role is Role.PRE_CANDIDATE:
         _campaign(state, state.term + RECOVERY_TERM_STEP, recovery=True)
-    elif state.is_recovery:
-        leader.start(state)
+    elif state.is_recovery_candidate:
+        leader.become_leader(state)
 
 
 def _campaign(state: State, term: int, transfer: bool = False, recovery: bool = False) -> None:
     state.role = Role.CANDIDATE
-    state.is_recovery = recovery
+    state.is_recovery_candidate = recovery
     state.leader = None
     state.enter_term(term, state.me.id)
     state.votes = {state.me.id}
     state.reset_retry_deadline()
-    _ask_for_votes(state, term, transfer=transfer)
-    _count(state)
+    _request_votes(state, term, transfer=transfer)
+    _count_votes(state)
 
 
-def _ask_for_votes(state: State, term: int, pre_vote: bool = False, transfer: bool = False) -> None:
+def _request_votes(state: State, term: int, pre_vote: bool = False, transfer: bool = False) -> None:
     request = VoteRequest(term, state.log.last_index, state.log.last_term, pre_vote, transfer)
     for member in state.log.members.voters:
         if member.id != state.me.id:
             state.send(member.id, request)
 
 
-def _holds_back(state: State) -> bool:
+def _must_withhold_vote(state: State) -> bool:
     if state.role is Role.LEADER:
         return True
-    return state.now_ms - state.heard_ms < state.settings.election_timeout_min_ms
+    return state.now_ms - state.last_leader_contact_ms < state.settings.election_timeout_min_ms
 
 
 def _is_up_to_date(state: State, request: VoteRequest) -> bool:
-    mine = (state.log.last_term, state.log.last_index)
-    return (request.last_term, request.last_index) >= mine
+    own_position = (state.log.last_term, state.log.last_index)
+    return (request.last_term, request.last_index) >= own_position
 
 
-def _answer(state: State, sender: MemberId, request: VoteRequest, granted: bool) -> None:
+def _respond(state: State, sender: MemberId, request: VoteRequest, granted: bool) -> None:
     response = VoteResponse(state.term, request.term, granted, request.pre_vote)
     state.send(sender, response)
--- a/packages/agateferry-state/agateferry_state/replication/follower.py
+++ b/packages/agateferry-state/agateferry_state/replication/follower.py
@@ -22,38 +22,38 @@
     if request.term < state.term:
         state.send(sender, AppendResponse(state.term, request.round, success=False))
         return
-    _follow(state, request.term, sender)
+    _accept_leader(state, request.term, sender)
     if request.prev_index < state.log.base_index:
-        _answer_with_committed(state, sender, request)
+        _acknowledge_committed(state, sender, request)
         return
     if state.log.term_at(request.prev_index) != request.prev_term:
-        _refuse(state, sender, request)
+        _reject(state, sender, request)
         return
-    is_new = _merge(state, request.entries)
+    is_new = _append_missing(state, request.entries)
     follower_state = state.follower_state
     last = request.prev_index + len(request.entries)
     follower_state.verified_index = max(follower_state.verified_index, last)
     state.commit_index = max(state.commit_index, min(request.commit_index, last))
     if is_new:
-        follower_state.unanswered_round = request.round
-    if not is_new or request.round > follower_state.answered_round:
+        follower_state.pending_ack_round = request.round
+    if not is_new or request.round > follower_state.acked_round:
         _acknowledge(state, sender, request.round)
 
 
-def on_chunk(state: State, sender: MemberId, chunk: SnapshotChunk) -> None:
+def on_snapshot_chunk(state: State, sender: MemberId, chunk: SnapshotChunk) -> None:
     """Take a part of a snapshot, or say that the log holds what is in it."""
     if chunk.term < state.term:
         response = SnapshotResponse(state.term, chunk.round, chunk.meta.index, 0)
         state.send(sender, response)
         return
-    _follow(state, chunk.term, sender)
+    _accept_leader(state, chunk.term, sender)
     index = chunk.meta.index
     if index <= state.commit_index or state.log.term_at(index) == chunk.meta.term:
         state.commit_index = max(state.commit_index, index)
         state.follower_state.verified_index = max(state.follower_state.verified_index, index)
         _acknowledge(state, sender, chunk.round)
         return
-    snapshots.receive(state, sender, chunk)
+    snapshots.receive_chunk(state, sender, chunk)
 
 
 def on_synced(state: State) -> None:
@@ -62,23 +62,23 @@
     if (
         state.leader_state is not None
         or state.leader is None
-        or not follower_state.unanswered_round
+        or not follower_state.pending_ack_round
     ):
         return
-    _acknowledge(state, state.leader, follower_state.unanswered_round)
+    _acknowledge(state, state.leader, follower_state.pending_ack_round)
     if state.log.synced_index >= follower_state.verified_index:
-        follower_state.unanswered_round = 0
+        follower_state.pending_ack_round = 0
 
 
-def _follow(state: State, term: int, leader: MemberId) -> None:
+def _accept_leader(state: State, term: int, leader: MemberId) -> None:
     if state.leader_state is not None and term == state.term:
         raise ValueError(f"{leader} leads in term {term} besides {state.me.id}")
     state.become_follower(term, leader)
-    state.heard_ms = state.now_ms
+    state.last_leader_contact_ms = state.now_ms
     state.reset_election_deadline()
 
 
-def _merge(state: State, entries: tuple[LogEntry, ...]) -> bool:
+def _append_missing(state: State, entries: tuple[LogEntry, ...]) -> bool:
     """Append the entries that are missing here; drop what contradicts them."""
     log = state.log
     missing = tuple(e for e in entries if log.term_at(e.index) != e.term)
@@ -95,22 +95,22 @@
 
 def _acknowledge(state: State, leader: MemberId, round_number: int) -> None:
     match = min(state.log.synced_index, state.follower_state.verified_index)
-    state.follower_state.answered_round = max(state.follower_state.answered_round, round_number)
+    state.follower_state.acked_round = max(state.follower_state.acked_round, round_number)
     response = AppendResponse(state.term, round_number, success=True, match_index=match)
     state.send(leader, response)
 
 
-def _answer_with_committed(state: State, sender: MemberId, request: AppendRequest) -> None:
+def _acknowledge_committed(state: State, sender: MemberId, request: AppendRequest) -> None:
     """Answer a request from before the log's start: what is committed agrees with any leader."""
     follower_state = state.follower_state
     follower_state.verified_index = max(follower_state.verified_index, state.commit_index)
     _acknowledge(state, sender, request.round)
 
 
-def _refuse(state: State, sender: MemberId, request: AppendRequest) -> None:
-    place = state.log.last_index_up_to(request.prev_index, request.prev_term)
-    term = state.log.term_at(place) or 0
+def _reject(state: State, sender: MemberId, request: AppendRequest) -> None:
+    hint_index = state.log.last_index_with_term_up_to(request.prev_index, request.prev_term)
+    term = state.log.term_at(hint_index) or 0
     response = AppendResponse(
-        state.term, request.round, success=False, hint_index=place, hint_term=term
+        state.term, request.round, success=False, hint_index=hint_index, hint_term=term
     )
     state.send(sender, response)
--- a/packages/agateferry-state/agateferry_state/replication/greeting.py
+++ b/packages/agateferry-state/agateferry_state/replication/greeting.py
@@ -16,20 +16,20 @@
 
 GREETING_INTERVAL_MS = 600
 GREETING_VALID_MS = 3000
-VOTER_SILENCE_MS = 5000
+VOTER_GREETING_DELAY_MS = 5000
 
 
-def on_time(state: State) -> None:
+def send_if_due(state: State) -> None:
     """Greet all known hosts where due, and start a new cell where that is safe."""
-    if state.leader is not None or state.now_ms < state.greet_deadline_ms:
+    if state.leader is not None or state.now_ms < state.greeting_deadline_ms:
         return
-    if state.is_voter and state.now_ms - state.heard_ms < VOTER_SILENCE_MS:
+    if state.is_voter and state.now_ms - state.last_leader_contact_ms < VOTER_GREETING_DELAY_MS:
         return
-    state.greet_deadline_ms = state.now_ms + GREETING_INTERVAL_MS
+    state.greeting_deadline_ms = state.now_ms + GREETING_INTERVAL_MS
     greeting = Greeting(state.term, state.me, state.log.is_empty)
     for host in sorted(_known_hosts(state) - {state.me.id.host}):
         state.send(MemberId(host), greeting)
-    _bootstrap_when_safe(state)
+    _bootstrap_if_safe(state)
 
 
 def on_greeting(state: State, sender: MemberId, greeting: Greeting) -> None:
@@ -37,23 +37,25 @@
     if sender != greeting.member.id:
         return
     if not greeting.nonce:
-        ask(state, sender)
+        send_request(state, sender)
         return
-    nonce, asked_ms = state.nonces.get(sender, (0, 0))
+    nonce, asked_ms = state.pending_nonces.get(sender, (0, 0))
     if nonce == greeting.nonce and state.now_ms - asked_ms <= GREETING_VALID_MS:
-        del state.nonces[sender]
-        state.present[sender.host] = ConfirmedMember(
+        del state.pending_nonces[sender]
+        state.confirmed_members[sender.host] = ConfirmedMember(
             greeting.member, greeting.is_empty, state.now_ms
         )
 
 
-def ask(state: State, member_id: MemberId) -> None:
+def send_request(state: State, member_id: MemberId) -> None:
     """Ask a member to prove that it is the one that runs on its host now."""
-    nonce, asked_ms = state.nonces.get(member_id, (0, 0))
+    nonce, asked_ms = state.pending_nonces.get(member_id, (0, 0))
     if not nonce or state.now_ms - asked_ms > GREETING_INTERVAL_MS:
         nonce = state.rng.getrandbits(63) + 1
-        state.nonces = {m: n for m, n in state.nonces.items() if m.host != member_id.host}
-        state.nonces[member_id] = (nonce, state.now_ms)
+        state.pending_nonces = {
+            m: n for m, n in state.pending_nonces.items() if m.host != member_id.host
+        }
+        state.pending_nonces[member_id] = (nonce, state.now_ms)
     state.send(member_id, GreetingRequest(state.term, nonce))
 
 
@@ -66,19 +68,19 @@
 def bootstrap(state: State, forming: bool) -> None:
     """Start a new cell in which this member is the only voter."""
     state.enter_term(state.term + 1, state.me.id)
-    leader.start(state, Members(voters=(state.me,), is_forming=forming))
+    leader.become_leader(state, Members(voters=(state.me,), is_forming=forming))
 
 
-def _bootstrap_when_safe(state: State) -> None:
+def _bootstrap_if_safe(state: State) -> None:
     if not state.settings.may_bootstrap:
         return
     if not state.log.is_empty or state.role is not Role.FOLLOWER:
         return
-    empty: dict[str, Member] = {state.me.id.host: state.me}
-    for host, present in state.present.items():
-        if present.is_empty and state.now_ms - present.at_ms <= GREETING_VALID_MS:
-            empty[host] = present.member
-    if bootstrap_host(empty, state.settings.first_host_names) == state.me.id.host:
+    empty_members: dict[str, Member] = {state.me.id.host: state.me}
+    for host, confirmed in state.confirmed_members.items():
+        if confirmed.is_empty and state.now_ms - confirmed.confirmed_ms <= GREETING_VALID_MS:
+            empty_members[host] = confirmed.member
+    if bootstrap_host(empty_members, state.settings.first_host_names) == state.me.id.host:
         bootstrap(state, forming=len(state.settings.first_hosts) > 1)
 
 
--- a/packages/agateferry-state/agateferry_state/replication/leader.py
+++ b/packages/agateferry-state/agateferry_state/replication/leader.py
@@ -20,7 +20,7 @@
 from agateferry_state.replication.state import Role, State
 
 
-def start(state: State, members: Members | None = None) -> None:
+def become_leader(state: State, members: Members | None = None) -> None:
     """Begin to lead with an entry of the own term: new members where given, or nothing."""
     state.role = Role.LEADER
     state.leader = state.me.id
@@ -40,7 +40,7 @@
     entry = LogEntry(state.log.last_index + 1, state.term, kind, data)
     state.emit(state.log.append((entry,)))
     if kind is not EntryKind.COMMAND:
-        leader_state.follow_members(state.log.members, state.me.id, entry.index)
+        leader_state.update_peers(state.log.members, state.me.id, entry.index)
     return entry
 
 
@@ -50,34 +50,37 @@
     if leader_state is None:
         return
     acks.confirm_round(state, leader_state)
-    silence_ms = state.now_ms - leader_state.lease.confirmed_ms
+    silence_ms = state.now_ms - leader_state.lease.confirmed_round_started_ms
     if silence_ms > state.settings.election_timeout_max_ms:
         state.become_follower(state.term)
 
 
-def on_time(state: State) -> None:
+def send_heartbeats_if_due(state: State) -> None:
     """Begin a round of heartbeats where one is due or a read asked for one."""
     leader_state = state.leader_state
     if leader_state is None:
         return
-    if leader_state.transfer_to is not None and state.now_ms > leader_state.transfer_deadline_ms:
-        leader_state.transfer_to = None
-    if state.now_ms >= leader_state.heartbeat_due_ms or leader_state.wants_round:
-        leader_state.wants_round = False
+    if (
+        leader_state.transfer_target is not None
+        and state.now_ms > leader_state.transfer_deadline_ms
+    ):
+        leader_state.transfer_target = None
+    if state.now_ms >= leader_state.heartbeat_due_ms or leader_state.is_round_requested:
+        leader_state.is_round_requested = False
         leader_state.heartbeat_due_ms = state.now_ms + state.settings.heartbeat_ms
         leader_state.lease.begin_round(state.now_ms)
         for peer, progress in leader_state.peers.items():
-            _heartbeat(state, leader_state, peer, progress)
+            _send_heartbeat(state, leader_state, peer, progress)
         acks.confirm_round(state, leader_state)
 
 
-def flush(state: State) -> None:
+def send_pending(state: State) -> None:
     """Send what is new to every peer that is ready for it, and finish a transfer."""
     leader_state = state.leader_state
     if leader_state is None:
         return
     for peer, progress in leader_state.peers.items():
-        _send_new(state, leader_state, peer, progress)
+        _send_pending_to(state, leader_state, peer, progress)
     advance_commit(state)
     _finish_transfer(state, leader_state)
 
@@ -87,7 +90,7 @@
     if response.term > state.term:
         state.become_follower(response.term)
         return
-    progress = acks.note_answer(state, sender, response.term, response.round)
+    progress = acks.record_response(state, sender, response.term, response.round)
     if progress is None:
         return
     if response.success:
@@ -95,7 +98,7 @@
         if progress.snapshot and progress.match_index >= progress.snapshot.meta.index:
             progress.snapshot = None
         return
-    agreed = state.log.last_index_up_to(response.hint_index, response.hint_term)
+    agreed = state.log.last_index_with_term_up_to(response.hint_index, response.hint_term)
     if agreed + 1 < progress.next_index:
         progress.retry_from(agreed + 1)
         progress.is_probing = True
@@ -106,26 +109,28 @@
     leader_state = state.leader_state
     if leader_state is None:
         return
-    held = {peer: progress.match_index for peer, progress in leader_state.peers.items()}
-    held[state.me.id] = state.log.synced_index
+    match_indexes = {peer: progress.match_index for peer, progress in leader_state.peers.items()}
+    match_indexes[state.me.id] = state.log.synced_index
     members = state.log.members
     superseded = state.superseded
-    index = highest(held, lambda ids: can_commit(members, ids, superseded))
-    index = min(index, _last_known_to_witnesses(state, held))
+    index = highest(match_indexes, lambda ids: can_commit(members, ids, superseded))
+    index = min(index, _last_index_held_by_witnesses(state, match_indexes))
     if index > state.commit_index and state.log.term_at(index) == state.term:
         state.commit_index = index
 
 
-def _last_known_to_witnesses(state: State, held: dict[MemberId, int]) -> int:
+def _last_index_held_by_witnesses(state: State, match_indexes: dict[MemberId, int]) -> int:
     if state.log.members_index > state.commit_index:
-        for at, old, new in state.log.changes_after(state.commit_index):
+        for at, old, new in state.log.member_changes_after(state.commit_index):
             needed = witnesses_needed(old, new, state.superseded)
-            if any(held.get(m, 0) < at for m in needed):
+            if any(match_indexes.get(m, 0) < at for m in needed):
                 return at - 1
     return state.log.last_index
 
 
-def _heartbeat(state: State, leader_state: LeaderState, peer: MemberId, progress: Progress) -> None:
+def _send_heartbeat(
+    state: State, leader_state: LeaderState, peer: MemberId, progress: Progress
+) -> None:
     silent_ms = state.now_ms - (progress.acked_ms or 0)
     if progress.in_flight and silent_ms > state.settings.heartbeat_ms:
         progress.retry_from(progress.in_flight[0][0])
@@ -137,7 +142,9 @@
         _send_entries(state, leader_state, peer, progress)
 
 
-def _send_new(state: State, leader_state: LeaderState, peer: MemberId, progress: Progress) -> None:
+def _send_pending_to(
+    state: State, leader_state: LeaderState, peer: MemberId, progress: Progress
+) -> None:
     if snapshots.is_needed(state, progress):
         if not progress.is_chunk_in_flight:
             snapshots.send_chunk(state, peer, progress, leader_state.lease.round)
@@ -168,9 +175,9 @@
 
 
 def _finish_transfer(state: State, leader_state: LeaderState) -> None:
-    if leader_state.transfer_to is None:
+    if leader_state.transfer_target is None:
         return
-    progress = leader_state.peers.get(leader_state.transfer_to)
+    progress = leader_state.peers.get(leader_state.transfer_target)
     if progress is not None and progress.match_index == state.log.last_index:
-        state.send(leader_state.transfer_to, TimeoutNow(state.term))
+        state.send(leader_state.transfer_target, TimeoutNow(state.term))
         state.become_follower(state.term)
--- a/packages/agateferry-state/agateferry_state/replication/leader_state.py
+++ b/packages/agateferry-state/agateferry_state/replication/leader_state.py
@@ -50,23 +50,24 @@
 
 @dataclass(slots=True)
 class LeaderState:
-    """The state of one leadership.
+    """Volatile state of a leader, for one term.
 
-    `start_index` is the first entry of the leader's own term; before it is committed nothing is
-    read and no members are changed.
+    `term_start_index` is the index of the first entry of the leader's own term. Until that entry is
+    committed, no read is answered and no membership change is proposed. A round is one numbered set
+    of sends to all peers (see `lease`); `is_round_requested` starts the next one at once.
     """
 
     lease: Lease
-    start_index: int
-    since_ms: int = 0
+    term_start_index: int
+    started_ms: int = 0
     peers: dict[MemberId, Progress] = field(default_factory=dict)
-    reads: list[PendingRead] = field(default_factory=list)
+    pending_reads: list[PendingRead] = field(default_factory=list)
     heartbeat_due_ms: int = 0
-    wants_round: bool = True
-    transfer_to: MemberId | None = None
+    is_round_requested: bool = True
+    transfer_target: MemberId | None = None
     transfer_deadline_ms: int = 0
 
-    def follow_members(self, members: Members, me: MemberId, next_index: int) -> None:
+    def update_peers(self, members: Members, me: MemberId, next_index: int) -> None:
         """Keep a `Progress` for each peer, and for no one else."""
         wanted = {m.id for m in members.all} - {me}
         for gone in self.peers.keys() - wanted:
--- a/packages/agateferry-state/agateferry_state/replication/lease.py
+++ b/packages/agateferry-state/agateferry_state/replication/lease.py
@@ -16,7 +16,7 @@
         self._started_ms: dict[int, int] = {}
         self.round = 0
         self.confirmed_round = 0
-        self.confirmed_ms = now_ms
+        self.confirmed_round_started_ms = now_ms
         self.valid_until_ms = now_ms
 
     def begin_round(self, now_ms: int) -> int:
@@ -30,8 +30,8 @@
         if round_number <= self.confirmed_round:
             return
         self.confirmed_round = round_number
-        self.confirmed_ms = self._started_ms[round_number]
-        self.valid_until_ms = self.confirmed_ms + self._lease_ms
+        self.confirmed_round_started_ms = self._started_ms[round_number]
+        self.valid_until_ms = self.confirmed_round_started_ms + self._lease_ms
         for older in [r for r in self._started_ms if r <= round_number]:
             del self._started_ms[older]
 
--- a/packages/agateferry-state/agateferry_state/replication/log.py
+++ b/packages/agateferry-state/agateferry_state/replication/log.py
@@ -26,7 +26,7 @@
         self.base_term = 0
         self._entries: list[LogEntry] = []
         self._members: list[tuple[int, Members]] = []
-        self._start_at(snapshot)
+        self._reset_to(snapshot)
         self._next_write_id = 1
         self._writes: deque[tuple[int, int]] = deque()
         kept = tuple(e for e in entries if e.index > self.base_index)
@@ -60,7 +60,7 @@
         """Tell whether nothing was ever stored here."""
         return self.last_index == 0
 
-    def changes_after(self, index: int) -> list[tuple[int, Members, Members]]:
+    def member_changes_after(self, index: int) -> list[tuple[int, Members, Members]]:
         """Return the place of each change of members after `index`, and the members around it."""
         pairs = pairwise(self._members)
         return [(at, old, new) for (_, old), (at, new) in pairs if at > index]
@@ -77,38 +77,38 @@
             return self._entries[index - self.base_index - 1].term
         return None
 
-    def between(self, first: int, last: int) -> tuple[LogEntry, ...]:
+    def entries_between(self, first: int, last: int) -> tuple[LogEntry, ...]:
         """Return the entries from `first` to `last`, both included."""
         return tuple(self._entries[first - self.base_index - 1 : last - self.base_index])
 
     def batch(self, first: int, max_entries: int, max_bytes: int) -> tuple[LogEntry, ...]:
         """Return entries from `first` on, at least one where there is one, within the limits."""
-        entries = self.between(first, min(self.last_index, first + max_entries - 1))
-        room = max_bytes
+        entries = self.entries_between(first, min(self.last_index, first + max_entries - 1))
+        remaining_bytes = max_bytes
         batch: list[LogEntry] = []
         for entry in entries:
-            room -= len(entry.data)
-            if room < 0 and batch:
+            remaining_bytes -= len(entry.data)
+            if remaining_bytes < 0 and batch:
                 break
             batch.append(entry)
         return tuple(batch)
 
-    def last_index_up_to(self, index: int, term: int) -> int:
+    def last_index_with_term_up_to(self, index: int, term: int) -> int:
         """Return the last place at or before `index` whose term is not above `term`.
 
         Where that is before the start of the log, the answer is some place before it.
         """
-        place = min(index, self.last_index)
-        while place >= self.base_index and (self.term_at(place) or 0) > term:
-            place -= 1
-        return place
+        candidate = min(index, self.last_index)
+        while candidate >= self.base_index and (self.term_at(candidate) or 0) > term:
+            candidate -= 1
+        return candidate
 
     def append(self, entries: tuple[LogEntry, ...]) -> AppendLog:
         """Add entries after the newest one."""
         if entries[0].index != self.last_index + 1:
             raise ValueError(f"entry {entries[0].index} does not follow {self.last_index}")
         self._extend(entries)
-        return AppendLog(self._take_write_id(self.last_index), entries)
+        return AppendLog(self._allocate_write_id(self.last_index), entries)
 
     def truncate(self, from_index: int) -> TruncateLog:
         """Drop the entry at `from_index` and all after it."""
@@ -116,7 +116,7 @@
         self._members = [(i, m) for i, m in self._members if i < from_index]
         self._writes = deque((w, min(i, from_index - 1)) for w, i in self._writes)
         self.synced_index = min(self.synced_index, from_index - 1)
-        return TruncateLog(self._take_write_id(self.last_index), from_index)
+        return TruncateLog(self._allocate_write_id(self.last_index), from_index)
 
     def mark_synced(self, write_id: int) -> None:
         """Note that the writes up to `write_id` are durable."""
@@ -135,11 +135,11 @@
 
     def reset(self, snapshot: Snapshot) -> None:
         """Replace everything by a durable snapshot."""
-        self._start_at(snapshot)
+        self._reset_to(snapshot)
         self._writes.clear()
         self.synced_index = self.base_index
 
-    def _start_at(self, snapshot: Snapshot | None) -> None:
+    def _reset_to(self, snapshot: Snapshot | None) -> None:
         self.snapshot = snapshot
         self.base_index = snapshot.meta.index if snapshot else 0
         self.base_term = snapshot.meta.term if snapshot else 0
@@ -153,7 +153,7 @@
             if entry.kind is EntryKind.MEMBERS:
                 self._members.append((entry.index, Members.decode(entry.data)))
 
-    def _take_write_id(self, last_index: int) -> int:
+    def _allocate_write_id(self, last_index: int) -> int:
         write_id = self._next_write_id
         self._next_write_id += 1
         self._writes.append((write_id, last_index))
--- a/packages/agateferry-state/agateferry_state/replication/membership_changes.py
+++ b/packages/agateferry-state/agateferry_state/replication/membership_changes.py
@@ -27,11 +27,11 @@
 )
 from agateferry_state.replication.state import Role, State
 
-PRESENT_FRESH_MS = 3000
+HOST_CONFIRMED_MAX_AGE_MS = 3000
 """How long a greeting proves that a host runs; one that is left out greets more often."""
 
 
-def on_time(state: State) -> None:
+def propose_next_if_due(state: State) -> None:
     """With each heartbeat, take the next step towards the members that should be.
 
     A leader that was removed stops leading once its removal is committed.
@@ -39,22 +39,22 @@
     leader_state = state.leader_state
     if leader_state is None or state.now_ms < leader_state.heartbeat_due_ms:
         return
-    is_settled = not _is_change_open(state, leader_state)
+    is_settled = not _is_change_pending(state, leader_state)
     if is_settled and not state.is_voter:
         state.become_follower(state.term)
         return
-    present = {host: p.member for host, p in state.present.items()}
+    present = {host: p.member for host, p in state.confirmed_members.items()}
     caught_up = _caught_up(state, leader_state) if is_settled else set()
     hosts = state.settings.first_host_names
     if state.settings.replaces_hosts:
-        members = _next_by_itself(state, leader_state, present, caught_up, is_settled)
+        members = _next_automatic_change(state, leader_state, present, caught_up, is_settled)
     else:
         members = next_change(state.log.members, present, caught_up, hosts, is_settled)
     if members is not None:
         leader.append(state, EntryKind.MEMBERS, members.encode())
 
 
-def _next_by_itself(
+def _next_automatic_change(
     state: State,
     leader_state: LeaderState,
     present: dict[str, Member],
@@ -70,18 +70,18 @@
         return change
     fresh = {
         host: p.member
-        for host, p in state.present.items()
-        if state.now_ms - p.at_ms <= PRESENT_FRESH_MS
+        for host, p in state.confirmed_members.items()
+        if state.now_ms - p.confirmed_ms <= HOST_CONFIRMED_MAX_AGE_MS
     }
     alive = leader_state.recently_acked(state.now_ms, state.settings.replace_after_ms)
-    led_ms = state.now_ms - leader_state.since_ms
+    led_ms = state.now_ms - leader_state.started_ms
     silent = members.voter_ids - alive - {state.me.id}
     if led_ms < state.settings.replace_after_ms:
         silent = frozenset()
     return next_replacement(members, fresh, caught_up, silent)
 
 
-def on_requested(state: State, event: MemberChangeRequested) -> None:
+def on_change_requested(state: State, event: MemberChangeRequested) -> None:
     """Carry out an operator's change, or say why not."""
     match plan_change(state, event.action, event.member.id.host):
         case Result(tag="ok", ok=members):
@@ -96,19 +96,19 @@
     leader_state = state.leader_state
     if leader_state is None:
         return Error(RejectReason.NOT_LEADER)
-    if _is_change_open(state, leader_state):
+    if _is_change_pending(state, leader_state):
         return Error(RejectReason.BUSY)
     if action is MemberAction.ADMIT:
-        return _admitted(state, host)
-    return _removed(state, leader_state, host)
+        return _plan_admission(state, host)
+    return _plan_removal(state, leader_state, host)
 
 
-def recover(state: State, event: RecoveryForced) -> None:
+def force_recovery(state: State, event: RecoveryForced) -> None:
     """Make this member the only voter and lead, where every other voter is named as lost."""
     match plan_recovery(state, event.lost):
         case Result(tag="ok", ok=members):
             state.enter_term(state.term + RECOVERY_TERM_STEP, state.me.id)
-            leader.start(state, members)
+            leader.become_leader(state, members)
             if event.proposal_id:
                 index = state.log.members_index
                 state.emit(ProposalAccepted(event.proposal_id, index, state.term))
@@ -132,8 +132,8 @@
     return Ok(Members(voters=(state.me,), removed=old.removed, given_up=given_up))
 
 
-def _is_change_open(state: State, leader_state: LeaderState) -> bool:
-    return state.commit_index < max(leader_state.start_index, state.log.members_index)
+def _is_change_pending(state: State, leader_state: LeaderState) -> bool:
+    return state.commit_index < max(leader_state.term_start_index, state.log.members_index)
 
 
 def _caught_up(state: State, leader_state: LeaderState) -> set[MemberId]:
@@ -141,10 +141,10 @@
     return {m for m in recent if leader_state.peers[m].match_index >= state.commit_index}
 
 
-def _admitted(state: State, host: str) -> Result[Members, RejectReason]:
+def _plan_admission(state: State, host: str) -> Result[Members, RejectReason]:
     members = state.log.members
     members = replace(members, removed=tuple(h for h in members.removed if h != host))
-    present = state.present.get(host)
+    present = state.confirmed_members.get(host)
     if present is None:
         is_member = any(m.id.host == host for m in members.all)
         return Error(RejectReason.NOT_NEEDED if is_member else RejectReason.NOT_READY)
@@ -155,14 +155,16 @@
     return Ok(members.with_learner(present.member))
 
 
-def _removed(state: State, leader_state: LeaderState, host: str) -> Result[Members, RejectReason]:
+def _plan_removal(
+    state: State, leader_state: LeaderState, host: str
+) -> Result[Members, RejectReason]:
     members = state.log.members
-    doomed: list[Member] = [m for m in members.all if m.id.host == host]
-    if not doomed:
+    host_members: list[Member] = [m for m in members.all if m.id.host == host]
+    if not host_members:
         return Error(RejectReason.NOT_NEEDED)
-    if sum(1 for m in doomed if members.is_voter(m.id)) > 1:
+    if sum(1 for m in host_members if members.is_voter(m.id)) > 1:
         return Error(RejectReason.BUSY)
-    for member in doomed:
+    for member in host_members:
         members = members.without(member.id)
     members = replace(members, removed=(*(h for h in members.removed if h != host), host))
     alive = leader_state.recently_acked(state.now_ms, state.settings.election_timeout_min_ms)
--- a/packages/agateferry-state/agateferry_state/replication/requests.py
+++ b/packages/agateferry-state/agateferry_state/replication/requests.py
@@ -22,7 +22,7 @@
 
 def on_proposed(state: State, event: Proposed) -> None:
     """Append a command, or say why not."""
-    reason = _refusal(state)
+    reason = _proposal_rejection(state)
     if reason is not None:
         state.emit(ProposalRejected(event.proposal_id, reason, state.leader))
         return
@@ -34,31 +34,31 @@
     """Let a read wait until it can be answered, or say whom to ask."""
     leader_state = state.leader_state
     if leader_state is None:
-        reason = _failed_or(state, RejectReason.NOT_LEADER)
+        reason = _storage_failed_or(state, RejectReason.NOT_LEADER)
         state.emit(ReadRejected(event.read_id, reason, state.leader))
         return
-    leader_state.reads.append(PendingRead(event.read_id, leader_state.lease.round + 1))
+    leader_state.pending_reads.append(PendingRead(event.read_id, leader_state.lease.round + 1))
     if not leader_state.lease.is_valid(state.now_ms):
-        leader_state.wants_round = True
+        leader_state.is_round_requested = True
 
 
 def answer_reads(state: State) -> None:
     """Answer the reads that the lease or a confirmed round allows now."""
     leader_state = state.leader_state
-    if leader_state is None or state.applied_index < leader_state.start_index:
+    if leader_state is None or state.applied_index < leader_state.term_start_index:
         return
     lease = leader_state.lease
     waiting = []
-    for read in leader_state.reads:
+    for read in leader_state.pending_reads:
         if lease.is_valid(state.now_ms):
             state.emit(ReadReady(read.read_id, state.applied_index, lease.valid_until_ms))
         elif lease.confirmed_round >= read.round:
             state.emit(ReadReady(read.read_id, state.applied_index, 0))
         else:
             waiting.append(read)
-    leader_state.reads = waiting
+    leader_state.pending_reads = waiting
     if waiting and lease.round < max(r.round for r in waiting):
-        leader_state.wants_round = True
+        leader_state.is_round_requested = True
 
 
 def on_transfer(state: State) -> None:
@@ -71,15 +71,15 @@
     if not voters:
         return
     best = max(voters, key=lambda m: (leader_state.peers[m].match_index, m))
-    leader_state.transfer_to = best
+    leader_state.transfer_target = best
     leader_state.transfer_deadline_ms = state.now_ms + state.settings.election_timeout_max_ms
 
 
-def _refusal(state: State) -> RejectReason | None:
+def _proposal_rejection(state: State) -> RejectReason | None:
     leader_state = state.leader_state
     if leader_state is None:
-        return _failed_or(state, RejectReason.NOT_LEADER)
-    if leader_state.transfer_to is not None or state.log.members.is_forming:
+        return _storage_failed_or(state, RejectReason.NOT_LEADER)
+    if leader_state.transfer_target is not None or state.log.members.is_forming:
         return RejectReason.NOT_READY
     unapplied = state.log.last_index - state.applied_index
     if unapplied >= state.settings.max_unapplied_entries:
@@ -87,5 +87,5 @@
     return None
 
 
-def _failed_or(state: State, reason: RejectReason) -> RejectReason:
+def _storage_failed_or(state: State, reason: RejectReason) -> RejectReason:
     return RejectReason.STORAGE_FAILED if state.role is Role.FAILED else reason
--- a/packages/agateferry-state/agateferry_state/replication/snapshots.py
+++ b/packages/agateferry-state/agateferry_state/replication/snapshots.py
@@ -23,14 +23,14 @@
 from agateferry_state.replication.state import State
 
 
-def ask_when_due(state: State) -> None:
+def request_if_due(state: State) -> None:
     """Ask for a snapshot once enough entries were applied since the last one."""
     newest = state.log.snapshot.meta.index if state.log.snapshot else 0
-    newest = max(newest, state.snapshot_asked_index)
+    newest = max(newest, state.snapshot_requested_index)
     index = state.applied_index
     if index - newest < state.settings.snapshot_every_entries:
         return
-    state.snapshot_asked_index = index
+    state.snapshot_requested_index = index
     term = state.log.term_at(index) or 0
     state.emit(TakeSnapshot(index, term, state.log.members_at(index)))
 
@@ -78,7 +78,7 @@
     if response.term > state.term:
         state.become_follower(response.term)
         return
-    progress = acks.note_answer(state, sender, response.term, response.round)
+    progress = acks.record_response(state, sender, response.term, response.round)
     if progress is None or progress.snapshot is None:
         return
     if progress.snapshot.meta.index != response.index:
@@ -90,7 +90,7 @@
         progress.acknowledge(response.index)
 
 
-def receive(state: State, sender: MemberId, chunk: SnapshotChunk) -> None:
+def receive_chunk(state: State, sender: MemberId, chunk: SnapshotChunk) -> None:
     """Collect a chunk from the leader and install the snapshot once it is whole."""
     follower_state = state.follower_state
     if follower_state.snapshot_meta != chunk.meta:
@@ -118,6 +118,6 @@
     state.log.reset(snapshot)
     state.commit_index = index
     state.applied_index = index
-    state.snapshot_asked_index = index
+    state.snapshot_requested_index = index
     state.follower_state.verified_index = index
-    state.follower_state.unanswered_round = 0
+    state.follower_state.pending_ack_round = 0
--- a/packages/agateferry-state/agateferry_state/replication/state.py
+++ b/packages/agateferry-state/agateferry_state/replication/state.py
@@ -34,14 +34,14 @@
 class FollowerState:
     """What a follower knows of the leader's log in the present term.
 
-    `verified_index` is the last place up to which both logs are known to agree. `unanswered_round`
-    is the newest round whose entries wait for the disk, or 0; `answered_round` is the newest one
+    `verified_index` is the last place up to which both logs are known to agree. `pending_ack_round`
+    is the newest round whose entries wait for the disk, or 0; `acked_round` is the newest one
     that the leader was told of.
     """
 
     verified_index: int = 0
-    unanswered_round: int = 0
-    answered_round: int = 0
+    pending_ack_round: int = 0
+    acked_round: int = 0
     snapshot_meta: SnapshotMeta | None = None
     snapshot_data: bytearray = field(default_factory=bytearray)
 
@@ -52,7 +52,7 @@
 
     member: Member
     is_empty: bool
-    at_ms: int
+    confirmed_ms: int
 
 
 @dataclass(slots=True)
@@ -68,21 +68,21 @@
     now_ms: int
     commit_index: int
     applied_index: int
-    heard_ms: int
+    last_leader_contact_ms: int
     """When the leader was last heard; votes are kept back for a while after it."""
     election_deadline_ms: int = 0
-    greet_deadline_ms: int = 0
+    greeting_deadline_ms: int = 0
     role: Role = Role.FOLLOWER
     leader: MemberId | None = None
     votes: set[MemberId] = field(default_factory=set)
-    is_recovery: bool = False
+    is_recovery_candidate: bool = False
     """Whether this candidate stands because only members with a disk are left."""
     follower_state: FollowerState = field(default_factory=FollowerState)
     leader_state: LeaderState | None = None
-    present: dict[str, ConfirmedMember] = field(default_factory=dict)
-    nonces: dict[MemberId, tuple[int, int]] = field(default_factory=dict)
+    confirmed_members: dict[str, ConfirmedMember] = field(default_factory=dict)
+    pending_nonces: dict[MemberId, tuple[int, int]] = field(default_factory=dict)
     """For each member that was asked to prove itself, the number sent and when."""
-    snapshot_asked_index: int = 0
+    snapshot_requested_index: int = 0
     effects: list[Effect] = field(default_factory=list)
 
     @property
@@ -93,14 +93,14 @@
     @property
     def superseded(self) -> frozenset[MemberId]:
         """Return the voters on whose hosts another incarnation runs now."""
-        if not self.present:
+        if not self.confirmed_members:
             return frozenset()
         return frozenset(m.id for m in self.log.members.voters if self.is_superseded(m.id))
 
     def is_superseded(self, member_id: MemberId) -> bool:
         """Tell whether another incarnation proved to run on this member's host."""
-        present = self.present.get(member_id.host)
-        return present is not None and present.member.id != member_id
+        confirmed = self.confirmed_members.get(member_id.host)
+        return confirmed is not None and confirmed.member.id != member_id
 
     def emit(self, effect: Effect) -> None:
         """Ask the shell for an effect."""
@@ -128,7 +128,7 @@
 
     def become_follower(self, term: int, leader: MemberId | None = None) -> None:
         """Follow, in this term or a newer one."""
-        self.stop_leading()
+        self.clear_leader_state()
         if term > self.term:
             self.enter_term(term)
             self.follower_state = FollowerState()
@@ -137,11 +137,11 @@
         self.role = Role.FOLLOWER
         self.leader = leader
 
-    def stop_leading(self) -> None:
+    def clear_leader_state(self) -> None:
         """Drop what belongs to leadership; reads that wait are turned away."""
         if self.leader_state is None:
             return
-        for read in self.leader_state.reads:
+        for read in self.leader_state.pending_reads:
             self.emit(ReadRejected(read.read_id, RejectReason.NOT_LEADER))
         self.leader_state = None
         self.leader = None
--- a/packages/agateferry-state/agateferry_state/replication/tests/test_log.py
+++ b/packages/agateferry-state/agateferry_state/replication/tests/test_log.py
@@ -41,8 +41,8 @@
 
     def test_a_place_before_the_start_is_told_where_terms_part_there(self):
         log = Log(snapshot(5, 3), entries(3, 3, first=6))
-        self.assertEqual(7, log.last_index_up_to(9, 3))
-        self.assertEqual(4, log.last_index_up_to(7, 2))
+        self.assertEqual(7, log.last_index_with_term_up_to(9, 3))
+        self.assertEqual(4, log.last_index_with_term_up_to(7, 2))
 
     def test_compaction_keeps_some_entries_and_the_members(self):
         log = Log(None, (LogEntry(1, 1, EntryKind.MEMBERS, MEMBERS.encode()),))
