--- a/packages/agateferry-state/agateferry_state/replication/__init__.py
+++ b/packages/agateferry-state/agateferry_state/replication/__init__.py
@@ -1,4 +1,4 @@
-"""Agreement on one log among the members of a cell, as a core that does no I/O."""
+"""Raft replication of one log among the members of a cell, as a core without I/O."""
 
 from agateferry_state.replication.core import Core
 from agateferry_state.replication.messages import StoredState
--- a/packages/agateferry-state/agateferry_state/replication/acks.py
+++ b/packages/agateferry-state/agateferry_state/replication/acks.py
@@ -1,4 +1,4 @@
-"""What an answer of a peer tells a leader, whatever it answers: that it is heard."""
+"""Bookkeeping for any response to a leader: when each peer answered, and the lease."""
 
 from agateferry_state.members import MemberId
 from agateferry_state.members.quorum import highest, is_everyone_left, is_majority
@@ -9,7 +9,10 @@
 def record_response(
     state: State, sender: MemberId, term: int, round_number: int
 ) -> Progress | None:
-    """Note that a peer answered a round of this term, and return its progress."""
+    """Record that a peer answered a round of this term, and return its progress.
+
+    Returns None where this member does not lead in that term or the sender is not a peer.
+    """
     leader_state = state.leader_state
     if leader_state is None or term != state.term or sender not in leader_state.peers:
         return None
--- a/packages/agateferry-state/agateferry_state/replication/core.py
+++ b/packages/agateferry-state/agateferry_state/replication/core.py
@@ -1,13 +1,13 @@
-"""The replication core: one member of a replicated log, with no I/O.
+"""The replication core: one member of a replicated log, without I/O.
 
-It is Raft as in Ongaro, "Consensus: Bridging Theory and Practice" (2014), with pre-vote,
+It implements Raft as in Ongaro, "Consensus: Bridging Theory and Practice" (2014), with pre-vote,
 check-quorum, leader lease, leadership transfer and single-server membership changes. For example
 
     core = Core(me, settings, stored, random.Random(7), now_ms=clock.now_ms())
     effects = core.step(Proposed(1, b"x"), now_ms=clock.now_ms())
 
-gives a `ProposalRejected` while the member does not lead. See `messages` for the order in which
-effects are carried out.
+returns a `ProposalRejected` while the member does not lead. See `messages` for the order in which
+effects must be carried out.
 """
 
 import random
@@ -62,10 +62,10 @@
 
 
 class Core:
-    """Decide what one member does; the shell does it.
+    """Turn events into the effects that the driver carries out for one member.
 
-    The state machine must be restored from the stored snapshot, where there is one, before the
-    first step.
+    Where `stored` has a snapshot, the driver restores the state machine from it before the first
+    step.
     """
 
     def __init__(
@@ -98,32 +98,32 @@
 
     @property
     def role(self) -> Role:
-        """Return what this member does in the present term."""
+        """Return this member's role in the current term."""
         return self._state.role
 
     @property
     def leader(self) -> MemberId | None:
-        """Return who leads, as far as this member knows."""
+        """Return the leader, as far as this member knows."""
         return self._state.leader
 
     @property
     def term(self) -> int:
-        """Return the present term."""
+        """Return the current term."""
         return self._state.term
 
     @property
     def members(self) -> Members:
-        """Return the newest members in the local log."""
+        """Return the newest members in the local log, committed or not."""
         return self._state.log.members
 
     @property
     def commit_index(self) -> int:
-        """Return the last entry known to be committed."""
+        """Return the index of the last entry known to be committed."""
         return self._state.commit_index
 
     @property
     def last_index(self) -> int:
-        """Return the last entry in the local log."""
+        """Return the index of the last entry in the local log."""
         return self._state.log.last_index
 
     @property
@@ -133,7 +133,7 @@
 
     @property
     def match_indexes(self) -> dict[MemberId, int]:
-        """Return up to where each member holds the log durably; empty unless this one leads."""
+        """Return the last durable index known of each member; empty unless this one leads."""
         leader_state = self._state.leader_state
         if leader_state is None:
             return {}
@@ -154,24 +154,24 @@
         return state.election_deadline_ms
 
     def holds_lease(self, now_ms: int) -> bool:
-        """Tell whether this member leads and no other can at `now_ms`."""
+        """Tell whether this member leads and no other member can lead at `now_ms`."""
         leader_state = self._state.leader_state
         return leader_state is not None and leader_state.lease.is_valid(now_ms)
 
     def preview_change(self, action: MemberAction, host: str) -> Result[Members, RejectReason]:
-        """Return the members after an operator's change, or why it would be refused."""
+        """Return the members after an operator's change, or why it would be rejected."""
         return membership_changes.plan_change(self._state, action, host)
 
     def preview_recovery(self, lost: frozenset[MemberId]) -> Result[Members, RejectReason]:
-        """Return the members after a forced recovery here, or why it would be refused."""
+        """Return the members after a forced recovery on this host, or why it would be rejected."""
         return membership_changes.plan_recovery(self._state, lost)
 
     def step(self, event: Event, now_ms: int) -> list[Effect]:
-        """Take one event and return the effects to carry out, in order."""
+        """Process one event and return the effects to carry out, in order."""
         return self.step_all((event,), now_ms)
 
     def step_all(self, events: Sequence[Event], now_ms: int) -> list[Effect]:
-        """Take events that wait together; proposals among them share the sends to followers."""
+        """Process several events in one step; the proposals in it share the sends to followers."""
         state = self._state
         state.now_ms = now_ms
         leader.check_quorum(state)
@@ -187,9 +187,9 @@
         return effects
 
     def _run_due_actions(self) -> None:
-        """Do what is due now, whatever the events were."""
+        """Do what is due now, independent of the events of this step."""
         state = self._state
-        election.campaign_if_timed_out(state)
+        election.start_pre_vote_if_due(state)
         greeting.send_if_due(state)
         leader.advance_commit(state)
         membership_changes.propose_next_if_due(state)
@@ -230,7 +230,7 @@
                 self._handle_operator_event(event)
 
     def _handle_operator_event(self, event: Event) -> None:
-        """Take an operator's word."""
+        """Process an operator's request."""
         state = self._state
         match event:
             case TransferLeadership():
@@ -266,7 +266,12 @@
                 greeting.on_request(state, sender, message)
 
     def _should_accept(self, sender: MemberId, recipient: MemberId, message: Message) -> bool:
-        """Tell whether a message is for this incarnation and from one that still runs."""
+        """Tell whether a message is for this incarnation and its sender is not superseded.
+
+        A superseded sender is asked to prove that it runs, since it may be the newer incarnation. A
+        greeting may also be addressed to the host alone, because its sender may not know which
+        incarnation runs there.
+        """
         state = self._state
         if isinstance(message, Greeting):
             return recipient in (state.me.id, MemberId(state.me.id.host))
@@ -278,7 +283,7 @@
         return True
 
     def _reject(self, event: Event) -> None:
-        """Answer what waits for an answer, after the disk failed."""
+        """Reject proposals and reads after the disk failed; ignore all other events."""
         match event:
             case Proposed(proposal_id) | MemberChangeRequested(proposal_id):
                 reason = RejectReason.STORAGE_FAILED
--- a/packages/agateferry-state/agateferry_state/replication/effects.py
+++ b/packages/agateferry-state/agateferry_state/replication/effects.py
@@ -1,4 +1,4 @@
-"""What the core asks of the shell; `messages` tells in which order it is carried out."""
+"""Effects that the driver carries out for the core; `messages` documents their order."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message; it may be lost, delayed or repeated on the way."""
+    """Send a message; it may be lost, delayed or duplicated on the way."""
 
     to: MemberId
     message: Message
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendLog:
-    """Write entries after the present end of the log, and sync them soon."""
+    """Write entries at the end of the log, and sync them soon."""
 
     write_id: int
     entries: tuple[LogEntry, ...]
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TruncateLog:
-    """Cut the log so that `from_index` and all after it are gone."""
+    """Remove the entry at `from_index` and all after it from the log."""
 
     write_id: int
     from_index: int
@@ -42,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeSnapshot:
-    """Take a snapshot of the state machine as it stands at `index`.
+    """Take a snapshot of the state machine, which has applied exactly the entries up to `index`.
 
-    Where an `InstallSnapshot` comes while the bytes are written, it replaces this one.
+    An `InstallSnapshot` that comes while the bytes are being written replaces this one.
     """
 
     index: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompactLog:
-    """Drop entries up to and with `up_to_index` when convenient; a snapshot covers them."""
+    """Drop the entries up to and including `up_to_index` at any time; a snapshot covers them."""
 
     up_to_index: int
 
@@ -68,17 +68,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Apply committed entries in order; NOOP and MEMBERS entries are for counting only."""
+    """Apply committed entries in order; NOOP and MEMBERS entries only advance the applied index."""
 
     entries: tuple[LogEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalAccepted:
-    """Say where a proposal was appended.
+    """Report where a proposal was appended.
 
-    It is agreed upon when `Apply` brings this index with this term, and it failed for good when
-    `Apply` brings the index with another term. Until then its fate is not known.
+    It is committed once `Apply` delivers an entry with this index and term, and lost once `Apply`
+    delivers this index with another term. Until then its outcome is unknown.
     """
 
     proposal_id: int
@@ -87,27 +87,27 @@
 
 
 class RejectReason(StrEnum):
-    """Say why a proposal, read or member change was not taken up."""
+    """List why a proposal, read or membership change was rejected."""
 
     NOT_LEADER = "not-leader"
     NOT_READY = "not-ready"
-    """The leader has not yet committed an entry of its term, or the cell is still forming."""
+    """The cell is forming, leadership is being transferred, or the host to admit is unknown."""
 
     BUSY = "busy"
-    """Another change of members is not committed yet, or too many entries wait."""
+    """Another change or the first entry of this term is uncommitted, or too many are unapplied."""
 
     NOT_NEEDED = "not-needed"
-    """The members are already so."""
+    """The change is already in effect."""
 
     UNSAFE = "unsafe"
-    """The change would leave no voter or no voter with a disk."""
+    """The change could lose committed entries or leave no quorum."""
 
     STORAGE_FAILED = "storage-failed"
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalRejected:
-    """Say that a proposal was not appended, and whom to ask instead where known."""
+    """Report that a proposal was not appended; `leader` is the member to retry at, where known."""
 
     proposal_id: int
     reason: RejectReason
@@ -116,10 +116,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """Say that a read may look at the state machine now, which has applied `index`.
+    """Report that a read may now use the state machine, which has applied `index`.
 
-    The lease behind it ends at `valid_until_ms` on the monotonic clock; 0 means that a quorum
-    confirmed the leader after the read began, and no clock is involved.
+    The lease that allows the read ends at `valid_until_ms` on the monotonic clock. 0 means that a
+    quorum confirmed the leader after the read began, so the answer depends on no clock.
     """
 
     read_id: int
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRejected:
-    """Say that this member cannot serve the read, and whom to ask instead where known."""
+    """Report that a read cannot be served here; `leader` is the member to retry at, where known."""
 
     read_id: int
     reason: RejectReason
@@ -138,9 +138,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipChanged:
-    """Tell who leads in which term as far as this member knows.
+    """Report the leader that this member knows of, and the term.
 
-    When this member itself stops leading, the fate of its unapplied proposals is unknown.
+    When this member itself stops leading, the outcome of its unapplied proposals is unknown.
     """
 
     leader: MemberId | None
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """Tell which members are in force in the local log."""
+    """Report the newest members in the local log, committed or not."""
 
     members: Members
 
--- a/packages/agateferry-state/agateferry_state/replication/election.py
+++ b/packages/agateferry-state/agateferry_state/replication/election.py
@@ -1,12 +1,13 @@
-"""How a leader is chosen: pre-vote, vote, and the promise to a leader that was just heard.
+"""Leader election: pre-vote, vote, and withholding votes while a leader is alive.
 
-Sections 3.4, 3.6 and 9.6 of Ongaro's thesis. A member first asks whether it would be elected, so
-that one that was cut off does not raise the term when it returns. Votes are kept back for the
-shortest election timeout after the leader was heard; the leader's lease rests on that, and so a
-process that just started keeps them back too.
+See sections 3.4, 3.6 and 9.6 of Ongaro's thesis. A member first runs a pre-vote, so that one that
+was partitioned does not raise the term when it returns. Votes are withheld for the shortest
+election timeout after the leader was last heard from. The leader lease depends on this, so a
+process that just started withholds its votes for as long.
 
-An election in which only the members with a disk are left raises the term by `RECOVERY_TERM_STEP`.
-The members whose memory is gone may have elected leaders of terms that no one left has seen.
+An election by only the members with a disk, after those without one lost their memory, raises the
+term by `RECOVERY_TERM_STEP`. The lost members may have elected leaders in terms that none of the
+remaining members has seen.
 """
 
 from agateferry_state.members import MemberId
@@ -16,10 +17,11 @@
 from agateferry_state.replication.state import Role, State
 
 RECOVERY_TERM_STEP = 1 << 20
+"""Term increase of a recovery; larger than the number of terms that lost members may have used."""
 
 
-def campaign_if_timed_out(state: State) -> None:
-    """Stand for election where no leader was heard for the drawn time."""
+def start_pre_vote_if_due(state: State) -> None:
+    """Start a pre-vote once the election deadline has passed without contact to a leader."""
     if state.role is Role.LEADER or state.now_ms < state.election_deadline_ms:
         return
     state.leader = None
@@ -34,13 +36,13 @@
 
 
 def on_timeout_now(state: State, request: TimeoutNow) -> None:
-    """Stand for election at once, because the leader hands over."""
+    """Start an election at once, as the target of a leadership transfer."""
     if request.term == state.term and state.is_voter and state.role is not Role.LEADER:
         _campaign(state, state.term + 1, transfer=True)
 
 
 def on_vote_request(state: State, sender: MemberId, request: VoteRequest) -> None:
-    """Grant or refuse a vote."""
+    """Grant or refuse a vote or pre-vote."""
     if _must_withhold_vote(state) and not request.transfer:
         _respond(state, sender, request, granted=False)
         return
@@ -63,7 +65,7 @@
 
 
 def on_vote_response(state: State, sender: MemberId, response: VoteResponse) -> None:
-    """Count a vote, or learn of a newer term."""
+    """Count a vote or pre-vote, or step down for a newer term."""
     if response.term > state.term and not response.granted:
         state.become_follower(response.term)
         return
--- a/packages/agateferry-state/agateferry_state/replication/entries.py
+++ b/packages/agateferry-state/agateferry_state/replication/entries.py
@@ -1,4 +1,4 @@
-"""What a replicated log holds, and what of it the disk gives back at start."""
+"""Entries and snapshots of the replicated log, and the durable state read at start."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,16 +7,21 @@
 
 
 class EntryKind(StrEnum):
-    """Say what an entry of the log holds."""
+    """List the kinds of log entry."""
 
     COMMAND = "command"
+    """A command for the state machine."""
+
     NOOP = "noop"
+    """No data: the first entry of a new leader's term."""
+
     MEMBERS = "members"
+    """A membership change: the complete new `Members`."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """One place in the log; `data` is a command, or encoded `Members`, or empty."""
+    """One entry of the log; `data` is a command, encoded `Members`, or empty for a no-op."""
 
     index: int
     term: int
@@ -26,7 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotMeta:
-    """What a snapshot covers: the last entry in it, the members then, its size and CRC-32."""
+    """What a snapshot covers.
+
+    `index` and `term` are those of the last entry that it includes, and `members` those in force
+    at that entry. `size` is in bytes; `checksum` is the CRC-32 of the data.
+    """
 
     index: int
     term: int
@@ -37,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A snapshot of the state machine with its bytes."""
+    """A snapshot of the state machine: its metadata and the serialized bytes."""
 
     meta: SnapshotMeta
     data: bytes
@@ -45,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """What the disk held at start; the defaults describe an empty folder."""
+    """The durable state read from the disk at start; the defaults describe an empty data folder."""
 
     term: int = 0
     voted_for: MemberId | None = None
--- a/packages/agateferry-state/agateferry_state/replication/follower.py
+++ b/packages/agateferry-state/agateferry_state/replication/follower.py
@@ -1,8 +1,9 @@
-"""What a follower does with what the leader sends.
+"""A follower's handling of append requests and snapshot chunks.
 
 Entries are acknowledged once they are durable. The first message of each of the leader's rounds is
-answered at once with what is durable already, so that a slow disk does not end the lease. Where the
-logs part, the answer names a place from which the leader can try again, skipping whole terms.
+answered at once with the index that is durable by then, so that a slow disk does not end the lease.
+Where the logs differ, the answer names an index from which the leader can try again; it skips whole
+terms.
 """
 
 from agateferry_state.members import MemberId
@@ -18,7 +19,7 @@
 
 
 def on_append(state: State, sender: MemberId, request: AppendRequest) -> None:
-    """Take entries or a heartbeat from the leader."""
+    """Append entries from the leader, or answer its heartbeat."""
     if request.term < state.term:
         state.send(sender, AppendResponse(state.term, request.round, success=False))
         return
@@ -41,7 +42,7 @@
 
 
 def on_snapshot_chunk(state: State, sender: MemberId, chunk: SnapshotChunk) -> None:
-    """Take a part of a snapshot, or say that the log holds what is in it."""
+    """Collect a chunk of a snapshot, or acknowledge it where the log covers the snapshot."""
     if chunk.term < state.term:
         response = SnapshotResponse(state.term, chunk.round, chunk.meta.index, 0)
         state.send(sender, response)
@@ -57,7 +58,7 @@
 
 
 def on_synced(state: State) -> None:
-    """Acknowledge entries that became durable."""
+    """Acknowledge to the leader the entries that became durable."""
     follower_state = state.follower_state
     if (
         state.leader_state is not None
@@ -79,7 +80,7 @@
 
 
 def _append_missing(state: State, entries: tuple[LogEntry, ...]) -> bool:
-    """Append the entries that are missing here; drop what contradicts them."""
+    """Append the entries that the log lacks, and truncate it first where it conflicts with them."""
     log = state.log
     missing = tuple(e for e in entries if log.term_at(e.index) != e.term)
     if not missing:
@@ -101,7 +102,10 @@
 
 
 def _acknowledge_committed(state: State, sender: MemberId, request: AppendRequest) -> None:
-    """Answer a request from before the log's start: what is committed agrees with any leader."""
+    """Acknowledge up to the commit index a request that starts before the compacted log.
+
+    Committed entries agree with the log of every leader.
+    """
     follower_state = state.follower_state
     follower_state.verified_index = max(follower_state.verified_index, state.commit_index)
     _acknowledge(state, sender, request.round)
--- a/packages/agateferry-state/agateferry_state/replication/greeting.py
+++ b/packages/agateferry-state/agateferry_state/replication/greeting.py
@@ -1,11 +1,11 @@
-"""How members that do not vote make themselves known, and how a new cell starts.
-
-A member that is no voter and hears no leader greets every host it knows, and so does a voter that
-heard none for long, because it may have been removed. Whoever is greeted asks
-it to repeat the greeting with a number, so that a greeting that was long on its way is not taken
-for one of now. A confirmed greeting proves which incarnation runs on a host: any other that voted
-there is superseded. A message from one that counts as superseded is answered by the same question,
-because it may be the newer one.
+"""Greetings, by which hosts learn which incarnations run, and the start of a new cell.
+
+A member that is no voter and has no leader greets every host it knows. So does a voter that heard
+from no leader for long, because it may have been removed. The recipient asks the sender to repeat
+its greeting with a nonce, so that a delayed greeting is not taken for a current one. A confirmed
+greeting proves which incarnation runs on a host; any other incarnation of that host is superseded.
+A message from a superseded incarnation is answered with the same request, because it may be the
+newer one.
 """
 
 from agateferry_state.members import Member, MemberId, Members
@@ -16,11 +16,13 @@
 
 GREETING_INTERVAL_MS = 600
 GREETING_VALID_MS = 3000
+"""How long a nonce may be answered, and an empty host counts as present for a new cell."""
 VOTER_GREETING_DELAY_MS = 5000
+"""How long a voter must have heard from no leader before it greets."""
 
 
 def send_if_due(state: State) -> None:
-    """Greet all known hosts where due, and start a new cell where that is safe."""
+    """Greet all known hosts if that is due, and start a new cell if that is safe."""
     if state.leader is not None or state.now_ms < state.greeting_deadline_ms:
         return
     if state.is_voter and state.now_ms - state.last_leader_contact_ms < VOTER_GREETING_DELAY_MS:
@@ -33,7 +35,7 @@
 
 
 def on_greeting(state: State, sender: MemberId, greeting: Greeting) -> None:
-    """Ask for a greeting with a number, or take one in."""
+    """Request a greeting with a nonce, or record the member that answered with the right one."""
     if sender != greeting.member.id:
         return
     if not greeting.nonce:
@@ -48,7 +50,7 @@
 
 
 def send_request(state: State, member_id: MemberId) -> None:
-    """Ask a member to prove that it is the one that runs on its host now."""
+    """Ask a member to prove, by a greeting with a nonce, that it runs on its host now."""
     nonce, asked_ms = state.pending_nonces.get(member_id, (0, 0))
     if not nonce or state.now_ms - asked_ms > GREETING_INTERVAL_MS:
         nonce = state.rng.getrandbits(63) + 1
@@ -60,7 +62,7 @@
 
 
 def on_request(state: State, sender: MemberId, request: GreetingRequest) -> None:
-    """Repeat the greeting with the number asked for."""
+    """Answer with a greeting that repeats the nonce."""
     greeting = Greeting(state.term, state.me, state.log.is_empty, request.nonce)
     state.send(sender, greeting)
 
--- a/packages/agateferry-state/agateferry_state/replication/leader.py
+++ b/packages/agateferry-state/agateferry_state/replication/leader.py
@@ -1,8 +1,8 @@
-"""What a leader does: start, repeat heartbeats, send entries, commit, and step down.
+"""The leader: heartbeats, log replication, commit, and stepping down.
 
-Entries go to followers in batches, several of them in flight, while the leader's own disk works.
-A leader that no quorum answers steps down (check-quorum), so that one that is not heard, or does
-not hear, makes room.
+Entries are sent to followers in batches, several of them in flight, in parallel with the leader's
+own write to disk. A leader that no quorum answers steps down (check quorum), so that one whose
+messages are lost in either direction lets another member be elected.
 """
 
 from agateferry_state.members import MemberId, Members
@@ -21,7 +21,10 @@
 
 
 def become_leader(state: State, members: Members | None = None) -> None:
-    """Begin to lead with an entry of the own term: new members where given, or nothing."""
+    """Become leader and append the first entry of this term.
+
+    The entry sets `members` where given (a bootstrap or forced recovery), else it is a no-op.
+    """
     state.role = Role.LEADER
     state.leader = state.me.id
     lease = Lease(state.settings.lease_ms, state.now_ms)
@@ -33,7 +36,10 @@
 
 
 def append(state: State, kind: EntryKind, data: bytes) -> LogEntry:
-    """Append an entry of the own term; followers get it at the end of the step."""
+    """Append an entry of the current term; it is sent to the followers at the end of the step.
+
+    Raises ValueError unless this member leads.
+    """
     leader_state = state.leader_state
     if leader_state is None:
         raise ValueError("only a leader appends")
@@ -45,7 +51,7 @@
 
 
 def check_quorum(state: State) -> None:
-    """Step down where no quorum answered for the longest election timeout."""
+    """Step down if no quorum answered within the longest election timeout."""
     leader_state = state.leader_state
     if leader_state is None:
         return
@@ -56,7 +62,10 @@
 
 
 def send_heartbeats_if_due(state: State) -> None:
-    """Begin a round of heartbeats where one is due or a read asked for one."""
+    """Start a round of heartbeats if one is due or a read requested one.
+
+    Also cancels a leadership transfer whose deadline has passed.
+    """
     leader_state = state.leader_state
     if leader_state is None:
         return
@@ -75,7 +84,7 @@
 
 
 def send_pending(state: State) -> None:
-    """Send what is new to every peer that is ready for it, and finish a transfer."""
+    """Send unsent entries or chunks as far as the limits in flight allow, and finish a transfer."""
     leader_state = state.leader_state
     if leader_state is None:
         return
@@ -86,7 +95,7 @@
 
 
 def on_append_response(state: State, sender: MemberId, response: AppendResponse) -> None:
-    """Take an acknowledgement, or go back to where the logs agree."""
+    """Record an acknowledgement, or go back to an index at which the logs may agree."""
     if response.term > state.term:
         state.become_follower(response.term)
         return
@@ -105,7 +114,10 @@
 
 
 def advance_commit(state: State) -> None:
-    """Commit what enough members hold; entries of older terms only along with a newer one."""
+    """Advance the commit index to what a quorum holds durably.
+
+    Entries of older terms are committed only along with one of the current term.
+    """
     leader_state = state.leader_state
     if leader_state is None:
         return
@@ -120,6 +132,11 @@
 
 
 def _last_index_held_by_witnesses(state: State, match_indexes: dict[MemberId, int]) -> int:
+    """Return the last index that uncommitted membership changes allow to commit.
+
+    A change may need further holders besides a quorum of the new members; until they hold it, only
+    the entries before it can be committed.
+    """
     if state.log.members_index > state.commit_index:
         for at, old, new in state.log.member_changes_after(state.commit_index):
             needed = witnesses_needed(old, new, state.superseded)
--- a/packages/agateferry-state/agateferry_state/replication/leader_state.py
+++ b/packages/agateferry-state/agateferry_state/replication/leader_state.py
@@ -1,4 +1,4 @@
-"""What a leader keeps: how far each peer is, its lease, and the reads that wait."""
+"""State that only a leader keeps: the progress of each peer, its lease and pending reads."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -10,10 +10,12 @@
 
 @dataclass(slots=True)
 class Progress:
-    """How far one peer is, as far as the leader knows.
+    """Replication progress of one peer, as far as the leader knows.
 
-    `in_flight` holds the first and last index of each batch that is not acknowledged. While
-    `is_probing`, the place where the logs agree is not known and one batch is sent at a time.
+    `match_index` is the last index that the peer holds durably, and `next_index` the next one to
+    send. `in_flight` has the first and last index of each unacknowledged batch. While `is_probing`,
+    the leader does not know up to where the logs agree and sends one batch at a time. During a
+    snapshot transfer, `snapshot` is the one being sent and `snapshot_offset` the next byte.
     """
 
     next_index: int
@@ -27,7 +29,7 @@
     is_chunk_in_flight: bool = False
 
     def acknowledge(self, match_index: int) -> None:
-        """Note that the peer holds the log up to here durably."""
+        """Record that the peer holds the log up to `match_index` durably."""
         self.is_probing = False
         self.match_index = max(self.match_index, match_index)
         self.next_index = max(self.next_index, self.match_index + 1)
@@ -35,14 +37,14 @@
             self.in_flight.popleft()
 
     def retry_from(self, index: int) -> None:
-        """Send again from an earlier place; what is known to be held is not sent again."""
+        """Resend from an earlier index, but nothing that the peer is known to hold."""
         self.next_index = max(index, self.match_index + 1)
         self.in_flight.clear()
 
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read that waits for the lease, or for a quorum to confirm a round begun after it."""
+    """A read that waits for a valid lease, or for a quorum to confirm `round`, begun after it."""
 
     read_id: int
     round: int
@@ -53,7 +55,8 @@
     """Volatile state of a leader, for one term.
 
     `term_start_index` is the index of the first entry of the leader's own term. Until that entry is
-    committed, no read is answered and no membership change is proposed. A round is one numbered set
+    committed, no read is answered and no membership change is proposed. `started_ms` is when this
+    member became leader. A round is one numbered set
     of sends to all peers (see `lease`); `is_round_requested` starts the next one at once.
     """
 
@@ -68,7 +71,7 @@
     transfer_deadline_ms: int = 0
 
     def update_peers(self, members: Members, me: MemberId, next_index: int) -> None:
-        """Keep a `Progress` for each peer, and for no one else."""
+        """Keep a `Progress` for exactly the voters and learners other than this member."""
         wanted = {m.id for m in members.all} - {me}
         for gone in self.peers.keys() - wanted:
             del self.peers[gone]
@@ -76,7 +79,7 @@
             self.peers[peer] = Progress(next_index)
 
     def recently_acked(self, now_ms: int, within_ms: int) -> set[MemberId]:
-        """Return the peers that answered within a span of time."""
+        """Return the peers that answered within the last `within_ms`."""
         return {
             peer
             for peer, progress in self.peers.items()
--- a/packages/agateferry-state/agateferry_state/replication/lease.py
+++ b/packages/agateferry-state/agateferry_state/replication/lease.py
@@ -1,15 +1,15 @@
-"""The leader's lease: until when no other member can have been elected.
+"""The leader lease: the time until which no other member can be elected.
 
-Each of the leader's sends belongs to a numbered round, whose start is read on the leader's own
-monotonic clock. A follower that answers a round keeps its vote back for the shortest election
-timeout from a moment after that start. So when a quorum answered a round, no one else is elected
-until the round's start plus that timeout; the lease is a little shorter, for clocks that drift
-(Gray and Cheriton 1989; Ongaro 2014, section 6.4.1).
+Each message of the leader belongs to a numbered round, whose start is taken from the leader's own
+monotonic clock. A follower that answers a round withholds its vote for the shortest election
+timeout, counted from a moment after that start. Once a quorum answered a round, no other member can
+be elected before the round's start plus that timeout. The lease is a little shorter, to allow for
+clock drift (Gray and Cheriton 1989; Ongaro 2014, section 6.4.1).
 """
 
 
 class Lease:
-    """Keep the rounds of one leader and the lease that their answers give."""
+    """Track the rounds of one leader, and the lease that the answered ones extend."""
 
     def __init__(self, lease_ms: int, now_ms: int) -> None:
         self._lease_ms = lease_ms
@@ -26,7 +26,7 @@
         return self.round
 
     def confirm(self, round_number: int) -> None:
-        """Note that a quorum answered this round."""
+        """Record that a quorum answered this round, and extend the lease."""
         if round_number <= self.confirmed_round:
             return
         self.confirmed_round = round_number
--- a/packages/agateferry-state/agateferry_state/replication/log.py
+++ b/packages/agateferry-state/agateferry_state/replication/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: what it holds, what is durable, and which members it names."""
+"""The in-memory log: its entries, what is durable, and the members that it sets."""
 
 from collections import deque
 from itertools import pairwise
@@ -16,8 +16,8 @@
 class Log:
     """Hold the entries after `base_index`, and the newest snapshot.
 
-    Changes return the effect that makes the disk follow. `synced_index` is the last entry that is
-    known to be durable; it moves by `mark_synced`.
+    Methods that change the log return the effect that makes the same change on disk. `synced_index`
+    is the index of the last entry known to be durable; `mark_synced` advances it.
     """
 
     def __init__(self, snapshot: Snapshot | None, entries: tuple[LogEntry, ...]) -> None:
@@ -28,6 +28,7 @@
         self._members: list[tuple[int, Members]] = []
         self._reset_to(snapshot)
         self._next_write_id = 1
+        # Unsynced writes: write id, and the last index that is durable with that write.
         self._writes: deque[tuple[int, int]] = deque()
         kept = tuple(e for e in entries if e.index > self.base_index)
         if kept and kept[0].index != self.base_index + 1:
@@ -52,7 +53,7 @@
 
     @property
     def members_index(self) -> int:
-        """Return where the newest members stand."""
+        """Return the index of the entry that set the newest members."""
         return self._members[-1][0]
 
     @property
@@ -61,16 +62,16 @@
         return self.last_index == 0
 
     def member_changes_after(self, index: int) -> list[tuple[int, Members, Members]]:
-        """Return the place of each change of members after `index`, and the members around it."""
+        """Return index, old and new members of each membership change after `index`."""
         pairs = pairwise(self._members)
         return [(at, old, new) for (_, old), (at, new) in pairs if at > index]
 
     def members_at(self, index: int) -> Members:
-        """Return the members in force as of an index that the log still covers."""
+        """Return the members in force at an index that the log still covers."""
         return next(members for at, members in reversed(self._members) if at <= index)
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None where the log does not reach it."""
+        """Return the term of an entry, or None where it was compacted away or does not exist."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -82,7 +83,10 @@
         return tuple(self._entries[first - self.base_index - 1 : last - self.base_index])
 
     def batch(self, first: int, max_entries: int, max_bytes: int) -> tuple[LogEntry, ...]:
-        """Return entries from `first` on, at least one where there is one, within the limits."""
+        """Return entries from `first` on, within the limits.
+
+        The first entry is returned even if it exceeds `max_bytes`.
+        """
         entries = self.entries_between(first, min(self.last_index, first + max_entries - 1))
         remaining_bytes = max_bytes
         batch: list[LogEntry] = []
@@ -94,9 +98,9 @@
         return tuple(batch)
 
     def last_index_with_term_up_to(self, index: int, term: int) -> int:
-        """Return the last place at or before `index` whose term is not above `term`.
+        """Return the last index at or before `index` whose entry has no higher term than `term`.
 
-        Where that is before the start of the log, the answer is some place before it.
+        Where the log was compacted past that entry, the result is some index before the log.
         """
         candidate = min(index, self.last_index)
         while candidate >= self.base_index and (self.term_at(candidate) or 0) > term:
@@ -104,14 +108,14 @@
         return candidate
 
     def append(self, entries: tuple[LogEntry, ...]) -> AppendLog:
-        """Add entries after the newest one."""
+        """Append entries; raises ValueError where they do not follow the newest one."""
         if entries[0].index != self.last_index + 1:
             raise ValueError(f"entry {entries[0].index} does not follow {self.last_index}")
         self._extend(entries)
         return AppendLog(self._allocate_write_id(self.last_index), entries)
 
     def truncate(self, from_index: int) -> TruncateLog:
-        """Drop the entry at `from_index` and all after it."""
+        """Remove the entry at `from_index` and all after it."""
         del self._entries[from_index - self.base_index - 1 :]
         self._members = [(i, m) for i, m in self._members if i < from_index]
         self._writes = deque((w, min(i, from_index - 1)) for w, i in self._writes)
@@ -119,12 +123,12 @@
         return TruncateLog(self._allocate_write_id(self.last_index), from_index)
 
     def mark_synced(self, write_id: int) -> None:
-        """Note that the writes up to `write_id` are durable."""
+        """Record that the writes up to and including `write_id` are durable."""
         while self._writes and self._writes[0][0] <= write_id:
             self.synced_index = self._writes.popleft()[1]
 
     def compact(self, snapshot: Snapshot, trailing_entries: int) -> None:
-        """Take a durable snapshot as the start of the log, and keep some entries before its end."""
+        """Drop the entries that a durable snapshot covers, except the last `trailing_entries`."""
         self.snapshot = snapshot
         new_base = max(self.base_index, snapshot.meta.index - trailing_entries)
         base_term = self.term_at(new_base)
@@ -134,7 +138,7 @@
         self.base_index, self.base_term = new_base, base_term or 0
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Replace everything by a durable snapshot."""
+        """Replace the whole log with a durable snapshot."""
         self._reset_to(snapshot)
         self._writes.clear()
         self.synced_index = self.base_index
--- a/packages/agateferry-state/agateferry_state/replication/membership_changes.py
+++ b/packages/agateferry-state/agateferry_state/replication/membership_changes.py
@@ -1,8 +1,8 @@
-"""How members of a running cell change, by the leader's own care or an operator's word.
+"""Membership changes of a running cell, by the leader itself or at an operator's request.
 
-One change of voters at a time, each committed before the next, and none before the leader committed
-an entry of its own term: the condition that corrects the single-server changes of the thesis
-(Ongaro, "bug in single-server membership changes", raft-dev 2015).
+Voters change one at a time: each change is committed before the next starts, and none starts before
+the leader committed an entry of its own term. That last condition corrects the single-server
+changes of Ongaro's thesis (Ongaro, "bug in single-server membership changes", raft-dev 2015).
 """
 
 from dataclasses import replace
@@ -28,13 +28,13 @@
 from agateferry_state.replication.state import Role, State
 
 HOST_CONFIRMED_MAX_AGE_MS = 3000
-"""How long a greeting proves that a host runs; one that is left out greets more often."""
+"""How long a confirmed greeting proves that a host runs; non-members greet more often than that."""
 
 
 def propose_next_if_due(state: State) -> None:
-    """With each heartbeat, take the next step towards the members that should be.
+    """Propose the next membership change that the leader makes by itself, with each heartbeat.
 
-    A leader that was removed stops leading once its removal is committed.
+    A leader that was removed steps down once its removal is committed.
     """
     leader_state = state.leader_state
     if leader_state is None or state.now_ms < leader_state.heartbeat_due_ms:
@@ -43,13 +43,13 @@
     if is_settled and not state.is_voter:
         state.become_follower(state.term)
         return
-    present = {host: p.member for host, p in state.confirmed_members.items()}
+    confirmed = {host: c.member for host, c in state.confirmed_members.items()}
     caught_up = _caught_up(state, leader_state) if is_settled else set()
     hosts = state.settings.first_host_names
     if state.settings.replaces_hosts:
-        members = _next_automatic_change(state, leader_state, present, caught_up, is_settled)
+        members = _next_automatic_change(state, leader_state, confirmed, caught_up, is_settled)
     else:
-        members = next_change(state.log.members, present, caught_up, hosts, is_settled)
+        members = next_change(state.log.members, confirmed, caught_up, hosts, is_settled)
     if members is not None:
         leader.append(state, EntryKind.MEMBERS, members.encode())
 
@@ -57,32 +57,36 @@
 def _next_automatic_change(
     state: State,
     leader_state: LeaderState,
-    present: dict[str, Member],
+    confirmed: dict[str, Member],
     caught_up: set[MemberId],
     is_settled: bool,
 ) -> Members | None:
-    """Return the next change in a cell that lets hosts in and out without an operator."""
+    """Return the next change in a cell that replaces hosts without an operator, or None.
+
+    `confirmed` has the confirmed member of each host name. Voters count as silent only once this
+    member has led for `replace_after_ms`.
+    """
     members = state.log.members
     hosts = state.settings.first_host_names
     ready = promotable(members, caught_up)
-    change = next_change(members, present, ready, hosts, is_settled)
+    change = next_change(members, confirmed, ready, hosts, is_settled)
     if change is not None or not is_settled:
         return change
-    fresh = {
-        host: p.member
-        for host, p in state.confirmed_members.items()
-        if state.now_ms - p.confirmed_ms <= HOST_CONFIRMED_MAX_AGE_MS
+    recently_confirmed = {
+        host: c.member
+        for host, c in state.confirmed_members.items()
+        if state.now_ms - c.confirmed_ms <= HOST_CONFIRMED_MAX_AGE_MS
     }
     alive = leader_state.recently_acked(state.now_ms, state.settings.replace_after_ms)
-    led_ms = state.now_ms - leader_state.started_ms
+    leader_for_ms = state.now_ms - leader_state.started_ms
     silent = members.voter_ids - alive - {state.me.id}
-    if led_ms < state.settings.replace_after_ms:
+    if leader_for_ms < state.settings.replace_after_ms:
         silent = frozenset()
-    return next_replacement(members, fresh, caught_up, silent)
+    return next_replacement(members, recently_confirmed, caught_up, silent)
 
 
 def on_change_requested(state: State, event: MemberChangeRequested) -> None:
-    """Carry out an operator's change, or say why not."""
+    """Append an operator's change, or reject it with the reason."""
     match plan_change(state, event.action, event.member.id.host):
         case Result(tag="ok", ok=members):
             entry = leader.append(state, EntryKind.MEMBERS, members.encode())
@@ -92,7 +96,7 @@
 
 
 def plan_change(state: State, action: MemberAction, host: str) -> Result[Members, RejectReason]:
-    """Return the members that an operator's change would make, or why it would be refused."""
+    """Return the members after an operator's change, or why it would be rejected."""
     leader_state = state.leader_state
     if leader_state is None:
         return Error(RejectReason.NOT_LEADER)
@@ -104,7 +108,7 @@
 
 
 def force_recovery(state: State, event: RecoveryForced) -> None:
-    """Make this member the only voter and lead, where every other voter is named as lost."""
+    """Make this member the only voter and leader, if every other voter is lost or superseded."""
     match plan_recovery(state, event.lost):
         case Result(tag="ok", ok=members):
             state.enter_term(state.term + RECOVERY_TERM_STEP, state.me.id)
@@ -118,9 +122,9 @@
 
 
 def plan_recovery(state: State, lost: frozenset[MemberId]) -> Result[Members, RejectReason]:
-    """Return the members that a forced recovery would make, or why it would be refused.
+    """Return the members after a forced recovery, or why it would be rejected.
 
-    A host that is no voter in its own log may hold nothing of what was accepted.
+    It is unsafe on a host that is no voter in its own log: that log may lack every committed entry.
     """
     if state.role is Role.LEADER:
         return Error(RejectReason.NOT_NEEDED)
@@ -144,15 +148,15 @@
 def _plan_admission(state: State, host: str) -> Result[Members, RejectReason]:
     members = state.log.members
     members = replace(members, removed=tuple(h for h in members.removed if h != host))
-    present = state.confirmed_members.get(host)
-    if present is None:
+    confirmed = state.confirmed_members.get(host)
+    if confirmed is None:
         is_member = any(m.id.host == host for m in members.all)
         return Error(RejectReason.NOT_NEEDED if is_member else RejectReason.NOT_READY)
-    if members.find(present.member.id) is not None:
+    if members.find(confirmed.member.id) is not None:
         return Error(RejectReason.NOT_NEEDED)
-    if present.member.id in members.given_up:
+    if confirmed.member.id in members.given_up:
         return Error(RejectReason.UNSAFE)
-    return Ok(members.with_learner(present.member))
+    return Ok(members.with_learner(confirmed.member))
 
 
 def _plan_removal(
--- a/packages/agateferry-state/agateferry_state/replication/messages.py
+++ b/packages/agateferry-state/agateferry_state/replication/messages.py
@@ -1,28 +1,28 @@
-"""What the replication core is told, what it asks for, and what members say to each other.
+"""Events that the replication core receives; effects and messages are exported here as well.
 
-The shell feeds events to `Core.step(event, now_ms)` and carries out the effects that come back.
-The order is part of the contract:
+The driver, which does all I/O for the core, passes events to `Core.step(event, now_ms)` and carries
+out the effects that the call returns. Their order is part of the contract:
 
 Effects are carried out in the order of the list, and the lists in the order of the steps.
 
-`PersistVote` and `InstallSnapshot` are barriers. Everything that they ask for is durable before
-any later effect is carried out. A member that answered first and forgot its vote in a crash could
-vote twice in one term.
+`PersistVote` and `InstallSnapshot` are barriers: what they store is durable before any later effect
+is carried out. A member that answered first and lost its vote in a crash could vote twice in one
+term.
 
-`AppendLog` and `TruncateLog` are written in order but not waited for. Later effects go out while
-the disk works: a leader sends entries to its followers in parallel with its own sync, and counts
-itself only once `Synced` came. Followers acknowledge only after `Synced`; the core sees to that.
-`Synced(write_id)` says that the write with this number and all writes before it are durable. One
+`AppendLog` and `TruncateLog` are written in order, but later effects don't wait for the disk. A
+leader sends entries to its followers in parallel with its own sync, and counts itself as a holder
+only after `Synced`. Followers acknowledge entries only after `Synced`, which the core ensures.
+`Synced(write_id)` reports that the write with this number and all writes before it are durable. One
 sync may cover many writes.
 
 `CompactLog` may be carried out at any later time. `TakeSnapshot` is carried out between the `Apply`
-before it and the `Apply` after it, so the state machine stands exactly at `index`; writing the
-bytes may take its time, and `SnapshotTaken` reports once they are durable.
+before it and the `Apply` after it, so that the state machine has applied exactly the entries up to
+`index`. The bytes may be written in the background; `SnapshotTaken` reports that they are durable.
 
-A failed write or sync of any kind is reported by `SyncFailed`. The core then takes no part any
-more until the process starts again and reads back what the disk holds.
+`SyncFailed` reports a failed write or sync of any kind. The core then stops taking part until the
+process restarts and reads back what the disk holds.
 
-A host with no disk reports `Synced` at once and keeps everything in memory.
+A host without a disk reports `Synced` at once and keeps everything in memory.
 """
 
 from dataclasses import dataclass
@@ -117,12 +117,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Tell the core the time; due at the latest at `Core.next_deadline_ms`."""
+    """Run whatever is due; delivered no later than `Core.next_deadline_ms`."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """Deliver a message; `recipient` is whom the sender meant, with its incarnation."""
+    """Deliver a message; `recipient` is the incarnation that it is addressed to."""
 
     sender: MemberId
     recipient: MemberId
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposed:
-    """Ask for a command to be agreed upon; the answer repeats `proposal_id`."""
+    """Propose a command for the log; the answering effect repeats `proposal_id`."""
 
     proposal_id: int
     data: bytes
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequested:
-    """Ask for the moment at which a linearizable read may look at the state machine."""
+    """Ask when the state machine is recent enough for a linearizable read."""
 
     read_id: int
 
@@ -153,12 +153,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncFailed:
-    """Report that a write or sync failed; nothing unsynced is assumed written."""
+    """Report that a write or sync failed; no unsynced write may be assumed durable."""
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotTaken:
-    """Report that a snapshot asked for by `TakeSnapshot` is durable."""
+    """Report that the snapshot requested by `TakeSnapshot` is durable."""
 
     index: int
     data: bytes
@@ -166,22 +166,22 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Hand leadership to the most caught-up voter, before a planned stop."""
+    """Transfer leadership to the most caught-up voter, before a planned stop."""
 
 
 class MemberAction(StrEnum):
-    """Say what an operator wants done with a member."""
+    """List the membership changes that an operator can request."""
 
     ADMIT = "admit"
-    """Let a host in as learner; it votes once it has caught up."""
+    """Add a host as learner; it becomes a voter once it has caught up."""
 
     REMOVE = "remove"
-    """Take a member out of the quorum."""
+    """Remove a host's members; the host stays out until it is admitted again."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChangeRequested:
-    """Ask for a change of members; the answer repeats `proposal_id` as for a proposal."""
+    """Request a membership change; it is answered like a proposal, with the same `proposal_id`."""
 
     proposal_id: int
     action: MemberAction
@@ -190,17 +190,17 @@
 
 @dataclass(frozen=True, slots=True)
 class BootstrapForced:
-    """Start a new cell on this empty host, by an operator's word."""
+    """Start a new cell on this empty host, at an operator's request."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryForced:
-    """Take this host's log as the truth after a quorum was lost, by an operator's word.
+    """Make this host the only voter after a quorum was lost, at an operator's request.
 
-    Every other voter must be named in `lost` or be superseded, else the answer is
-    `ProposalRejected` as unsafe. Whatever this host's log lacks is given up, and so are all other
-    incarnations: their hosts come back with an empty folder. The answer repeats `proposal_id`;
-    there is none where that is 0.
+    Every other voter must be named in `lost` or be superseded, else the request is rejected as
+    unsafe. Entries that this host's log lacks are lost, and all other incarnations are given up:
+    their hosts rejoin only with an empty data folder. The answer is `ProposalAccepted` or
+    `ProposalRejected` with `proposal_id`; there is no answer where that is 0.
     """
 
     lost: frozenset[MemberId] = frozenset()
--- a/packages/agateferry-state/agateferry_state/replication/peer_messages.py
+++ b/packages/agateferry-state/agateferry_state/replication/peer_messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other; each message names the sender's term."""
+"""Messages between members; each carries the sender's term."""
 
 from dataclasses import dataclass
 
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """Ask for a vote, or with `pre_vote` whether one would be given (thesis, 9.6).
+    """Ask for a vote, or with `pre_vote` whether a vote would be granted (Ongaro 2014, 9.6).
 
-    `transfer` marks a candidate that was told to start by the leader itself; it is then voted for
-    although the leader was heard a moment ago.
+    `transfer` marks a candidate that the leader itself told to start an election. Voters then don't
+    withhold their votes although they heard from the leader lately.
     """
 
     term: int
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRequest:
-    """Send entries that follow `prev_index`, or none as a heartbeat.
+    """Send the entries after `prev_index`, or none as a heartbeat.
 
-    `round` numbers the leader's sends and is repeated in the response, so that the leader knows
-    how recent the acknowledgement is.
+    `round` is the number of the leader's current round of sends. The response repeats it, so that
+    the leader knows that the acknowledgement is not older than the start of that round.
     """
 
     term: int
@@ -49,10 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendResponse:
-    """Acknowledge entries up to `match_index`, all of them durable, or say where logs part.
+    """Acknowledge durable entries up to `match_index`, or report that the logs differ.
 
-    Where `success` is false, `hint_index` is the place from which the leader should try again and
-    `hint_term` the term of the follower's entry there (0 where it has none).
+    Where `success` is false, `hint_index` is the last index at which the logs may agree, from which
+    the leader tries again, and `hint_term` the term of the follower's entry there (0 where it has
+    none). A response with a newer `term` carries no hint: its recipient must step down.
     """
 
     term: int
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotChunk:
-    """Send the part of a snapshot that begins at byte `offset`."""
+    """Send the part of a snapshot that starts at byte `offset`."""
 
     term: int
     meta: SnapshotMeta
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotResponse:
-    """Ask for the part that begins at `next_offset`, or report that all of it is durable."""
+    """Ask for the part that starts at byte `next_offset`, or report that all is `installed`."""
 
     term: int
     round: int
@@ -87,17 +88,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeoutNow:
-    """Tell a caught-up follower to stand for election at once (thesis, 3.10)."""
+    """Tell a caught-up follower to start an election at once (Ongaro 2014, 3.10)."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class Greeting:
-    """Say who runs on this host now, and whether it holds any log.
+    """Announce the incarnation that runs on the sender's host, and whether its log is empty.
 
-    A member that is no voter greets all hosts it knows. `nonce` repeats the number of a
-    `GreetingRequest`, or is 0; only an answer to one's own number proves who runs there now.
+    `nonce` is 0 in a greeting sent without a request, and else that of the `GreetingRequest` which
+    it answers. Only a greeting with the recipient's own nonce proves that the incarnation runs now.
     """
 
     term: int
@@ -108,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GreetingRequest:
-    """Ask the member that greeted to repeat its greeting with this number."""
+    """Ask a member to send its greeting with this nonce, as proof that it runs now."""
 
     term: int
     nonce: int
--- a/packages/agateferry-state/agateferry_state/replication/requests.py
+++ b/packages/agateferry-state/agateferry_state/replication/requests.py
@@ -1,8 +1,8 @@
-"""Proposals, reads and the planned hand-over, as the shell asks for them.
+"""Client requests: proposals, linearizable reads and leadership transfer.
 
-A read is linearizable: it is answered while the lease is valid, or once a quorum confirmed a round
-that began after the read (ReadIndex; Ongaro 2014, section 6.4). Either is checked at the end of
-the step, with the time given for that step.
+A read is answered while the leader lease is valid, or once a quorum confirmed a round that began
+after the read (ReadIndex; Ongaro 2014, section 6.4). Both are checked at the end of each step,
+against the time passed to that step.
 """
 
 from agateferry_state.replication import leader
@@ -21,7 +21,7 @@
 
 
 def on_proposed(state: State, event: Proposed) -> None:
-    """Append a command, or say why not."""
+    """Append a proposed command, or reject it with the reason."""
     reason = _proposal_rejection(state)
     if reason is not None:
         state.emit(ProposalRejected(event.proposal_id, reason, state.leader))
@@ -31,7 +31,7 @@
 
 
 def on_read(state: State, event: ReadRequested) -> None:
-    """Let a read wait until it can be answered, or say whom to ask."""
+    """Queue a read until it can be answered, or reject it with the known leader."""
     leader_state = state.leader_state
     if leader_state is None:
         reason = _storage_failed_or(state, RejectReason.NOT_LEADER)
@@ -43,7 +43,7 @@
 
 
 def answer_reads(state: State) -> None:
-    """Answer the reads that the lease or a confirmed round allows now."""
+    """Answer the pending reads that the lease or a confirmed round allows now."""
     leader_state = state.leader_state
     if leader_state is None or state.applied_index < leader_state.term_start_index:
         return
@@ -62,7 +62,10 @@
 
 
 def on_transfer(state: State) -> None:
-    """Begin to hand leadership to the voter that is furthest; new proposals are refused."""
+    """Start a leadership transfer to the most caught-up voter that answered lately.
+
+    Proposals are rejected until the transfer ends or `election_timeout_max_ms` has passed.
+    """
     leader_state = state.leader_state
     if leader_state is None:
         return
--- a/packages/agateferry-state/agateferry_state/replication/snapshots.py
+++ b/packages/agateferry-state/agateferry_state/replication/snapshots.py
@@ -1,8 +1,9 @@
-"""Snapshots: taking them, dropping the log before them, and sending them in chunks.
+"""Snapshots: taking them, compacting the log, and sending them to peers in chunks.
 
-A chunk is sent once the one before it is acknowledged, and again with each heartbeat while it is
-not, so that losses, a restarted receiver or a new sender only cost time: the receiver says from
-which byte it goes on. A transfer keeps the snapshot it began with, also when a newer one is taken.
+A chunk is sent once the one before it is acknowledged, and resent with each heartbeat until it is
+acknowledged itself. The receiver names the byte at which to continue, so a lost message, a
+restarted receiver or a new leader only delays the transfer. A transfer continues with the snapshot
+that it started with, even if a newer one is taken.
 """
 
 import zlib
@@ -24,7 +25,7 @@
 
 
 def request_if_due(state: State) -> None:
-    """Ask for a snapshot once enough entries were applied since the last one."""
+    """Request a snapshot once `snapshot_every_entries` were applied since the last one."""
     newest = state.log.snapshot.meta.index if state.log.snapshot else 0
     newest = max(newest, state.snapshot_requested_index)
     index = state.applied_index
@@ -36,7 +37,7 @@
 
 
 def on_taken(state: State, event: SnapshotTaken) -> None:
-    """Drop the log before a snapshot that is durable now."""
+    """Compact the log after a snapshot became durable."""
     term = state.log.term_at(event.index)
     newest = state.log.snapshot.meta.index if state.log.snapshot else 0
     if term is None or event.index <= newest:
@@ -53,7 +54,10 @@
 
 
 def is_needed(state: State, progress: Progress) -> bool:
-    """Tell whether a peer is so far behind that the log no longer reaches back to it."""
+    """Tell whether a peer needs a snapshot, because the log no longer holds its next entry.
+
+    Starts the transfer with the newest snapshot where none is under way.
+    """
     if progress.snapshot is None and progress.next_index <= state.log.base_index:
         progress.snapshot = state.log.snapshot
         progress.snapshot_offset = 0
@@ -63,7 +67,7 @@
 
 
 def send_chunk(state: State, peer: MemberId, progress: Progress, round_number: int) -> None:
-    """Send the part of the snapshot that the peer waits for."""
+    """Send the chunk of the snapshot that the peer needs next."""
     snapshot = progress.snapshot
     if snapshot is None:
         return
@@ -74,7 +78,7 @@
 
 
 def on_response(state: State, sender: MemberId, response: SnapshotResponse) -> None:
-    """Go on with the part that the receiver asks for, or with the log after the snapshot."""
+    """Continue with the byte that the receiver asks for, or with the log after the snapshot."""
     if response.term > state.term:
         state.become_follower(response.term)
         return
@@ -91,7 +95,10 @@
 
 
 def receive_chunk(state: State, sender: MemberId, chunk: SnapshotChunk) -> None:
-    """Collect a chunk from the leader and install the snapshot once it is whole."""
+    """Collect a chunk from the leader, and install the snapshot once it is complete.
+
+    Where the checksum is wrong, the collected bytes are dropped and requested again.
+    """
     follower_state = state.follower_state
     if follower_state.snapshot_meta != chunk.meta:
         follower_state.snapshot_meta = chunk.meta
--- a/packages/agateferry-state/agateferry_state/replication/state.py
+++ b/packages/agateferry-state/agateferry_state/replication/state.py
@@ -1,4 +1,4 @@
-"""What one member knows, and the small moves that all parts of the core share."""
+"""State of one member, and the transitions that all parts of the core share."""
 
 import random
 from dataclasses import dataclass, field
@@ -20,23 +20,23 @@
 
 
 class Role(StrEnum):
-    """Say what a member does in the present term."""
+    """List the roles of a member in the current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
     CANDIDATE = "candidate"
     LEADER = "leader"
     FAILED = "failed"
-    """The disk failed; the member takes no part until its process starts again."""
+    """The disk failed; the member takes no part until its process restarts."""
 
 
 @dataclass(slots=True)
 class FollowerState:
-    """What a follower knows of the leader's log in the present term.
+    """State that a follower keeps of its leader, for one term.
 
-    `verified_index` is the last place up to which both logs are known to agree. `pending_ack_round`
-    is the newest round whose entries wait for the disk, or 0; `acked_round` is the newest one
-    that the leader was told of.
+    `verified_index` is the last index up to which both logs are known to agree. `pending_ack_round`
+    is the newest round whose entries are not durable yet, or 0; `acked_round` is the newest round
+    that was acknowledged. `snapshot_meta` and `snapshot_data` hold a partly received snapshot.
     """
 
     verified_index: int = 0
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class ConfirmedMember:
-    """A member that proved to run on its host, and whether its log was empty then."""
+    """A member that was confirmed to run on its host, when, and whether its log was empty then."""
 
     member: Member
     is_empty: bool
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class State:
-    """The state of the core; the modules beside this one are its moves."""
+    """The state of the core; the other modules of this package change it."""
 
     me: Member
     settings: Settings
@@ -69,65 +69,66 @@
     commit_index: int
     applied_index: int
     last_leader_contact_ms: int
-    """When the leader was last heard; votes are kept back for a while after it."""
+    """When a leader was last heard from, or the process started; votes are withheld after it."""
     election_deadline_ms: int = 0
     greeting_deadline_ms: int = 0
     role: Role = Role.FOLLOWER
     leader: MemberId | None = None
     votes: set[MemberId] = field(default_factory=set)
     is_recovery_candidate: bool = False
-    """Whether this candidate stands because only members with a disk are left."""
+    """Whether this election needs only the members with a disk, as all others are superseded."""
     follower_state: FollowerState = field(default_factory=FollowerState)
     leader_state: LeaderState | None = None
     confirmed_members: dict[str, ConfirmedMember] = field(default_factory=dict)
+    """For each host name, the member whose greeting last proved that it runs there."""
     pending_nonces: dict[MemberId, tuple[int, int]] = field(default_factory=dict)
-    """For each member that was asked to prove itself, the number sent and when."""
+    """For each member that was asked to greet, the nonce sent and when."""
     snapshot_requested_index: int = 0
     effects: list[Effect] = field(default_factory=list)
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether this member counts in quorums, as far as its own log says."""
+        """Tell whether this member is a voter according to its own log."""
         return self.log.members.is_voter(self.me.id)
 
     @property
     def superseded(self) -> frozenset[MemberId]:
-        """Return the voters on whose hosts another incarnation runs now."""
+        """Return the voters on whose hosts another incarnation was confirmed to run."""
         if not self.confirmed_members:
             return frozenset()
         return frozenset(m.id for m in self.log.members.voters if self.is_superseded(m.id))
 
     def is_superseded(self, member_id: MemberId) -> bool:
-        """Tell whether another incarnation proved to run on this member's host."""
+        """Tell whether another incarnation was confirmed to run on this member's host."""
         confirmed = self.confirmed_members.get(member_id.host)
         return confirmed is not None and confirmed.member.id != member_id
 
     def emit(self, effect: Effect) -> None:
-        """Ask the shell for an effect."""
+        """Add an effect to those that this step returns."""
         self.effects.append(effect)
 
     def send(self, to: MemberId, message: Message) -> None:
-        """Ask the shell to send a message."""
+        """Add the effect of sending a message."""
         self.emit(Send(to, message))
 
     def reset_election_deadline(self) -> None:
-        """Draw the time at which this member stands for election if it hears no leader."""
+        """Set the time of the next election attempt, after a random election timeout."""
         low, high = self.settings.election_timeout_min_ms, self.settings.election_timeout_max_ms
         self.election_deadline_ms = self.now_ms + self.rng.randint(low, high)
 
     def reset_retry_deadline(self) -> None:
-        """Draw the time at which a candidate that was not elected asks again."""
+        """Set the time at which a candidate that was not elected retries, after a random delay."""
         low, high = self.settings.election_retry_min_ms, self.settings.election_retry_max_ms
         self.election_deadline_ms = self.now_ms + self.rng.randint(low, high)
 
     def enter_term(self, term: int, voted_for: MemberId | None = None) -> None:
-        """Move to a term, durably, before anything else is said."""
+        """Enter a term, and make term and vote durable before any later effect."""
         self.term = term
         self.voted_for = voted_for
         self.emit(PersistVote(term, voted_for))
 
     def become_follower(self, term: int, leader: MemberId | None = None) -> None:
-        """Follow, in this term or a newer one."""
+        """Become follower in this term or a newer one; `leader` is None while not known."""
         self.clear_leader_state()
         if term > self.term:
             self.enter_term(term)
@@ -138,7 +139,7 @@
         self.leader = leader
 
     def clear_leader_state(self) -> None:
-        """Drop what belongs to leadership; reads that wait are turned away."""
+        """Drop the state of a leader, and reject its pending reads."""
         if self.leader_state is None:
             return
         for read in self.leader_state.pending_reads:
