--- a/packages/agateferry-state/agateferry_state/replication/core.py
+++ b/packages/agateferry-state/agateferry_state/replication/core.py
@@ -171,7 +171,7 @@
         return self.step_all((event,), now_ms)
 
     def step_all(self, events: Sequence[Event], now_ms: int) -> list[Effect]:
-        """Process several events in one step; the proposals in it share the sends to followers."""
+        """Process several events in one step; their proposals share the sends to followers."""
         state = self._state
         state.now_ms = now_ms
         leader.check_quorum(state)
--- a/packages/agateferry-state/agateferry_state/replication/tests/support.py
+++ b/packages/agateferry-state/agateferry_state/replication/tests/support.py
@@ -1,4 +1,4 @@
-"""A seeded network, disks and clocks for cores in virtual time, and a checker of histories."""
+"""A seeded simulation of network, disks and clocks for cores, and a checker of histories."""
 
 import heapq
 import itertools
@@ -15,12 +15,12 @@
 
 
 class ViolationError(Exception):
-    """What must always hold did not."""
+    """An invariant of replication was violated."""
 
 
 @dataclass
 class Disk:
-    """What one host stored; `pending` holds log writes that are not synced."""
+    """The disk of one host; `pending` holds the log writes that are not synced."""
 
     incarnation: str = ""
     term: int = 0
@@ -54,48 +54,48 @@
 
 
 class Host:
-    """One host: a core with a fake shell around it."""
+    """One host: a core, and what the simulated driver keeps for it."""
 
     def __init__(self, name, has_disk, offset_ms, rate):
         self.name, self.has_disk = name, has_disk
         self.offset_ms, self.rate = offset_ms, rate
         self.disk = Disk()
         self.core = None
-        self.life = 0
-        self.frozen = []
+        self.start_count = 0
+        self.queued_events = []
         self.is_frozen = False
-        self.machine = []
+        self.applied_commands = []
         self.accepted = {}
-        self.armed = (0, 0)
+        self.timer = (0, 0)
 
 
 class History:
-    """What was seen from outside, checked as it comes."""
+    """What clients and the network observed; each observation is checked at once."""
 
     checks_terms = True
 
     def __init__(self):
-        self.places = {}
+        self.entries_by_index = {}
         self.acked = {}
-        self.newest = [(0, 0)]
+        self.completions = [(0, 0)]
         self.terms = {}
         self.votes = {}
         self.leaders = {}
 
     def applied(self, entry):
-        if self.places.setdefault(entry.index, entry) != entry:
+        if self.entries_by_index.setdefault(entry.index, entry) != entry:
             raise ViolationError(
-                f"two entries at {entry.index}: {self.places[entry.index]}, {entry}"
+                f"two entries at {entry.index}: {self.entries_by_index[entry.index]}, {entry}"
             )
 
     def completed(self, now, index):
-        if index > self.newest[-1][1]:
-            self.newest.append((now, index))
+        if index > self.completions[-1][1]:
+            self.completions.append((now, index))
 
     def read(self, began, now, index):
-        known = max(i for at, i in self.newest if at < began or at == 0)
+        known = max(i for at, i in self.completions if at < began or at == 0)
         if index < known:
-            raise ViolationError(f"read {index} after {known} was told")
+            raise ViolationError(f"read at index {index} after {known} was acknowledged")
         self.completed(now, index)
 
     def sent(self, sender, to, message):
@@ -114,24 +114,28 @@
 
 
 class Cluster:
-    """Hosts, the network between them, and clients, in virtual milliseconds."""
+    """Simulated hosts, network and clients; all times are virtual milliseconds.
+
+    The class attributes plant faults: votes that are not synced, a wiped host that returns under
+    the same incarnation, log writes that are reported as synced but are not.
+    """
 
     loses_votes = False
     keeps_incarnation = False
     skips_sync = False
-    kills_voters = 0.0
+    kill_after_vote_probability = 0.0
 
     def __init__(self, seed, disks=(True, True, True), formed=True, loss=0.01, **settings):
         self.rng = random.Random(seed)
         self.now, self.heap, self.count = 0, [], itertools.count()
-        self.history, self.cut, self.loss = History(), set(), loss
+        self.history, self.blocked_links, self.loss = History(), set(), loss
         self.ids = itertools.count(1)
-        self.op_of = {}
+        self.op_started_ms = {}
         names = "abcdefghi"[: len(disks)]
-        firsts = tuple(Member(MemberId(n), d) for n, d in zip(names, disks, strict=True))
-        self.settings = Settings(cell="cell", first_hosts=firsts, **settings)
+        first_hosts = tuple(Member(MemberId(n), d) for n, d in zip(names, disks, strict=True))
+        self.settings = Settings(cell="cell", first_hosts=first_hosts, **settings)
         self.hosts = {}
-        for member in firsts:
+        for member in first_hosts:
             host = Host(member.id.host, member.has_disk, *self._clock())
             self.hosts[host.name] = host
             host.disk.incarnation = f"{host.name}1"
@@ -151,7 +155,7 @@
         for host in self.hosts.values():
             host.disk.term, host.disk.entries = 1, [entry]
 
-    def at(self, delay, action, *args):
+    def schedule(self, delay, action, *args):
         heapq.heappush(self.heap, (self.now + delay, next(self.count), action, args))
 
     def run_until(self, end):
@@ -167,21 +171,21 @@
         host = self.hosts[name]
         if host.core is not None:
             return
-        host.life += 1
+        host.start_count += 1
         if incarnation is None and not (host.has_disk and host.disk.incarnation):
-            incarnation = f"{name}1" if self.keeps_incarnation else f"{name}{host.life}"
+            incarnation = f"{name}1" if self.keeps_incarnation else f"{name}{host.start_count}"
         host.disk.incarnation = incarnation or host.disk.incarnation
         me = Member(MemberId(name, host.disk.incarnation), host.has_disk)
         rng = random.Random(self.rng.random())
         now = self.local_ms(host)
         host.core = Core(me, self.settings, host.disk.stored(), rng, now)
         snapshot = host.disk.snapshot
-        host.machine = json.loads(snapshot.data) if snapshot else []
+        host.applied_commands = json.loads(snapshot.data) if snapshot else []
         self.step(host, messages.Tick())
 
     def kill(self, name):
         host = self.hosts[name]
-        host.core, host.frozen, host.is_frozen = None, [], False
+        host.core, host.queued_events, host.is_frozen = None, [], False
         host.accepted.clear()
         host.disk.crash(self.rng)
         if not host.has_disk:
@@ -194,25 +198,25 @@
     def freeze(self, name):
         self.hosts[name].is_frozen = self.hosts[name].core is not None
 
-    def wake(self, name):
+    def unfreeze(self, name):
         host = self.hosts[name]
         host.is_frozen = False
-        waiting, host.frozen = host.frozen, []
-        for life, event in waiting:
-            self.deliver(host, life, event)
-        self.deliver(host, host.life, messages.Tick())
+        waiting, host.queued_events = host.queued_events, []
+        for start_count, event in waiting:
+            self.deliver(host, start_count, event)
+        self.deliver(host, host.start_count, messages.Tick())
 
     def heal(self):
-        self.cut.clear()
+        self.blocked_links.clear()
         for name in self.hosts:
-            self.wake(name)
+            self.unfreeze(name)
             self.start(name)
 
-    def deliver(self, host, life, event):
-        if host.core is None or host.life != life:
+    def deliver(self, host, start_count, event):
+        if host.core is None or host.start_count != start_count:
             return
         if host.is_frozen:
-            host.frozen.append((life, event))
+            host.queued_events.append((start_count, event))
             return
         self.step(host, event)
 
@@ -225,15 +229,15 @@
                 self.carry_out(host, effect)
         self._check_leases(host)
         delay = max(1, int((core.next_deadline_ms - self.local_ms(host)) / host.rate) + 1)
-        self._arm(host, delay)
+        self._set_timer(host, delay)
 
-    def _arm(self, host, delay):
+    def _set_timer(self, host, delay):
         due = self.now + delay
-        life, armed = host.armed
-        if life == host.life and self.now < armed <= due:
+        start_count, pending_due = host.timer
+        if start_count == host.start_count and self.now < pending_due <= due:
             return
-        host.armed = (host.life, due)
-        self.at(delay, self.deliver, host, host.life, messages.Tick())
+        host.timer = (host.start_count, due)
+        self.schedule(delay, self.deliver, host, host.start_count, messages.Tick())
 
     def _check_leases(self, host):
         if not host.core.holds_lease(self.local_ms(host)):
@@ -257,86 +261,95 @@
             case messages.AppendLog() | messages.TruncateLog():
                 host.disk.pending.append(effect)
                 delay = self.rng.randint(1, 15) if host.has_disk else 0
-                self.at(delay, self.deliver, host, host.life, messages.Synced(effect.write_id))
+                self.schedule(
+                    delay, self.deliver, host, host.start_count, messages.Synced(effect.write_id)
+                )
             case messages.InstallSnapshot(snapshot):
                 host.disk.snapshot, host.disk.entries, host.disk.pending = snapshot, [], []
-                host.machine = json.loads(snapshot.data)
+                host.applied_commands = json.loads(snapshot.data)
             case messages.TakeSnapshot():
-                data = json.dumps(host.machine).encode()
-                self.at(self.rng.randint(1, 40), self._snapshot_done, host, host.life, effect, data)
+                data = json.dumps(host.applied_commands).encode()
+                self.schedule(
+                    self.rng.randint(1, 40),
+                    self._snapshot_done,
+                    host,
+                    host.start_count,
+                    effect,
+                    data,
+                )
             case messages.Apply(entries):
                 for entry in entries:
                     self._apply(host, entry)
             case messages.ProposalAccepted(op, index, term):
                 host.accepted[index] = (op, term)
             case messages.ReadReady(op, index):
-                if op in self.op_of:
-                    began = self.op_of.pop(op)
+                if op in self.op_started_ms:
+                    began = self.op_started_ms.pop(op)
                     self.history.read(began, self.now, index)
 
-    def _snapshot_done(self, host, life, effect, data):
-        newest = host.disk.snapshot.meta.index if host.disk.snapshot else 0
-        if host.core is None or host.life != life or effect.index <= newest:
+    def _snapshot_done(self, host, start_count, effect, data):
+        newest_index = host.disk.snapshot.meta.index if host.disk.snapshot else 0
+        if host.core is None or host.start_count != start_count or effect.index <= newest_index:
             return
         size, checksum = len(data), zlib.crc32(data)
         meta = messages.SnapshotMeta(effect.index, effect.term, effect.members, size, checksum)
         host.disk.snapshot = messages.Snapshot(meta, data)
-        self.deliver(host, life, messages.SnapshotTaken(effect.index, data))
+        self.deliver(host, start_count, messages.SnapshotTaken(effect.index, data))
 
     def _send(self, host, effect):
         self.history.sent(host.core.me.id, effect.to, effect.message)
-        if (host.name, effect.to.host) in self.cut or self.rng.random() < self.loss:
+        if (host.name, effect.to.host) in self.blocked_links or self.rng.random() < self.loss:
             return
         event = messages.MessageReceived(host.core.me.id, effect.to, effect.message)
         if isinstance(effect.message, messages.VoteResponse) and effect.message.granted:
-            self._kill_voter(host.name)
+            self._kill_after_vote(host.name)
         copies = 2 if self.rng.random() < 0.01 else 1
         for _ in range(copies):
             slow = self.rng.random() < 0.02
             delay = self.rng.randint(50, 1500) if slow else self.rng.randint(1, 4)
-            self.at(delay, self._arrive, host.name, effect.to.host, event)
+            self.schedule(delay, self._arrive, host.name, effect.to.host, event)
 
-    def _kill_voter(self, name):
-        if self.rng.random() < self.kills_voters:
-            self.at(self.rng.randint(0, 5), self.kill, name)
-            self.at(self.rng.randint(6, 300), self.start, name)
+    def _kill_after_vote(self, name):
+        if self.rng.random() < self.kill_after_vote_probability:
+            self.schedule(self.rng.randint(0, 5), self.kill, name)
+            self.schedule(self.rng.randint(6, 300), self.start, name)
 
     def _arrive(self, source, target, event):
         host = self.hosts.get(target)
-        if host is not None and (source, target) not in self.cut:
-            self.deliver(host, host.life, event)
+        if host is not None and (source, target) not in self.blocked_links:
+            self.deliver(host, host.start_count, event)
 
     def _apply(self, host, entry):
         self.history.applied(entry)
-        if host.machine and host.machine[-1][0] >= entry.index:
+        if host.applied_commands and host.applied_commands[-1][0] >= entry.index:
             raise ViolationError(f"{host.name} applied {entry.index} twice")
         if entry.kind is messages.EntryKind.COMMAND:
-            host.machine.append([entry.index, entry.data.decode()])
+            host.applied_commands.append([entry.index, entry.data.decode()])
         op, term = host.accepted.pop(entry.index, (None, 0))
-        if op is not None and term == entry.term and op in self.op_of:
-            del self.op_of[op]
+        if op is not None and term == entry.term and op in self.op_started_ms:
+            del self.op_started_ms[op]
             self.history.acked[entry.index] = entry.data.decode()
             self.history.completed(self.now, entry.index)
 
     def propose(self, name):
         host = self.hosts[name]
         op = next(self.ids)
-        self.op_of[op] = self.now
-        self.deliver(host, host.life, messages.Proposed(op, str(op).encode()))
+        self.op_started_ms[op] = self.now
+        self.deliver(host, host.start_count, messages.Proposed(op, str(op).encode()))
 
     def read(self, name):
         host = self.hosts[name]
         op = next(self.ids)
-        self.op_of[op] = self.now
-        self.deliver(host, host.life, messages.ReadRequested(op))
+        self.op_started_ms[op] = self.now
+        self.deliver(host, host.start_count, messages.ReadRequested(op))
 
-    def clients(self, until, every=150):
-        """Send a proposal or a read to every host now and then."""
+    def run_clients(self, until, every=150):
+        """Send a proposal or a read to every host at random intervals, until the given time."""
         if self.now >= until:
             return
         for name in self.hosts:
             (self.propose if self.rng.random() < 0.5 else self.read)(name)
-        self.at(self.rng.randint(1, 2 * every), self.clients, until, every)
+        self.schedule(self.rng.randint(1, 2 * every), self.run_clients, until, every)
 
     def leader(self):
         for host in self.hosts.values():
@@ -344,8 +357,8 @@
                 return host.name
         return None
 
-    def is_whole(self):
-        """Tell whether every host runs, votes and holds the log, and all of it is committed."""
+    def is_fully_replicated(self):
+        """Tell whether every host is a running voter with the whole committed log of the leader."""
         cores = [h.core for h in self.hosts.values()]
         name = self.leader()
         if name is None or None in cores:
@@ -358,13 +371,13 @@
 
     def _check_members(self):
         for _ in range(80):
-            if self.is_whole():
+            if self.is_fully_replicated():
                 return
             self.run_until(self.now + 250)
-        raise ViolationError("not every host votes although all are back")
+        raise ViolationError("not every host is a voter although all are back")
 
-    def check_end(self):
-        """Check that the cell works again and holds all that it accepted."""
+    def check_recovered(self):
+        """Check that the cell accepts entries again and holds every acknowledged one."""
         before = len(self.history.acked)
         for _ in range(40):
             for name in self.hosts:
@@ -375,7 +388,7 @@
         else:
             raise ViolationError("no entry is accepted although all hosts are back")
         self._check_members()
-        content = dict(self.hosts[self.leader()].machine)
+        content = dict(self.hosts[self.leader()].applied_commands)
         for index, data in self.history.acked.items():
             if content.get(index) != data:
                 raise ViolationError(f"accepted entry {index} is lost")
--- a/packages/agateferry-state/agateferry_state/replication/tests/test_core.py
+++ b/packages/agateferry-state/agateferry_state/replication/tests/test_core.py
@@ -13,11 +13,11 @@
         for seed in range(SEEDS):
             cluster = Cluster(seed, formed=False)
             for _ in range(2):
-                cluster.at(cluster.rng.randint(100, 3000), faults.kill, cluster)
+                cluster.schedule(cluster.rng.randint(100, 3000), faults.kill, cluster)
             cluster.run_until(5000)
             cluster.heal()
             try:
-                cluster.check_end()
+                cluster.check_recovered()
             except ViolationError as exc:
                 raise AssertionError(f"seed {seed}: {exc}") from exc
 
@@ -39,33 +39,35 @@
     def test_two_hosts_back_empty_at_once_wait_for_an_operator(self):
         for seed in range(SEEDS):
             cluster = Cluster(seed)
-            cluster.clients(1800)
+            cluster.run_clients(1800)
             cluster.run_until(2000)
             left, *wiped = cluster.rng.sample(sorted(cluster.hosts), 3)
             for name in wiped:
                 cluster.wipe(name)
-                cluster.at(cluster.rng.randint(1, 500), cluster.start, name)
+                cluster.schedule(cluster.rng.randint(1, 500), cluster.start, name)
             accepted = len(cluster.history.acked)
-            cluster.clients(6000)
+            cluster.run_clients(6000)
             cluster.run_until(7000)
-            kept = list(cluster.hosts[left].machine)
+            kept = list(cluster.hosts[left].applied_commands)
             self.assertEqual((None, accepted), (cluster.leader(), len(cluster.history.acked)))
             self.recover(cluster, left)
-            self.assertEqual(kept, cluster.hosts[left].machine[: len(kept)])
+            self.assertEqual(kept, cluster.hosts[left].applied_commands[: len(kept)])
 
     def recover(self, cluster, left):
-        # Entries that only the lost disks held are given up, by the operator's word.
-        held = {i for i, _ in cluster.hosts[left].machine}
+        # A forced recovery gives up the entries that only the lost disks held.
+        held = {i for i, _ in cluster.hosts[left].applied_commands}
         cluster.history.acked = {i: d for i, d in cluster.history.acked.items() if i in held}
-        cluster.history.places = {i: e for i, e in cluster.history.places.items() if i in held}
+        cluster.history.entries_by_index = {
+            i: e for i, e in cluster.history.entries_by_index.items() if i in held
+        }
         lost = cluster.hosts[left].core.members.voter_ids
         cluster.step(cluster.hosts[left], messages.RecoveryForced(lost))
         for member_id in cluster.hosts[left].core.members.given_up:
             cluster.wipe(member_id.host)
-            cluster.at(100, cluster.start, member_id.host)
-        cluster.check_end()
+            cluster.schedule(100, cluster.start, member_id.host)
+        cluster.check_recovered()
 
-    def test_a_recovery_must_name_all_that_is_lost(self):
+    def test_a_recovery_must_name_all_lost_voters(self):
         cluster = Cluster(1)
         cluster.run_until(2500)
         host = next(h for h in cluster.hosts.values() if h.name != cluster.leader())
@@ -76,7 +78,7 @@
 
     def test_a_member_that_was_given_up_stays_out_until_it_is_empty(self):
         cluster = Cluster(1)
-        cluster.clients(2500)
+        cluster.run_clients(2500)
         cluster.run_until(2500)
         cluster.kill("a")
         cluster.kill("b")
@@ -99,8 +101,8 @@
         self.assertEqual(2, len(cluster.hosts["c"].core.members.voters))
 
 
-class ReturnTests(testtools.TestCase):
-    def test_a_host_that_was_cut_off_long_does_not_disturb_the_others(self):
+class PartitionedHostTests(testtools.TestCase):
+    def test_a_host_that_returns_from_a_long_partition_does_not_disturb_the_others(self):
         for seed in range(SEEDS):
             cluster = Cluster(seed, loss=0.0)
             cluster.run_until(2500)
@@ -108,11 +110,11 @@
             name = next(n for n in cluster.hosts if n != leader)
             kind = seed % 3
             if kind != 1:
-                cluster.cut |= {(name, other) for other in cluster.hosts}
+                cluster.blocked_links |= {(name, other) for other in cluster.hosts}
             if kind != 0:
-                cluster.cut |= {(other, name) for other in cluster.hosts}
+                cluster.blocked_links |= {(other, name) for other in cluster.hosts}
             cluster.run_until(14_000)
-            cluster.cut.clear()
+            cluster.blocked_links.clear()
             term = cluster.hosts[leader].core.term
             cluster.run_until(17_000)
             core = cluster.hosts[leader].core
@@ -120,11 +122,11 @@
 
 
 class TransferTests(testtools.TestCase):
-    def test_another_leads_at_once(self):
+    def test_another_member_leads_at_once(self):
         gaps = []
         for seed in range(SEEDS):
             cluster = Cluster(seed, loss=0.0)
-            cluster.clients(3000)
+            cluster.run_clients(3000)
             cluster.run_until(2500)
             leader = cluster.leader()
             cluster.step(cluster.hosts[leader], messages.TransferLeadership())
@@ -132,12 +134,12 @@
             while cluster.leader() in (None, leader) and cluster.now < began + 5000:
                 cluster.run_until(cluster.now + 5)
             gaps.append(cluster.now - began)
-            cluster.check_end()
+            cluster.check_recovered()
         self.assertLess(sorted(gaps)[len(gaps) // 2], 100)
 
 
 class MemberChangeTests(testtools.TestCase):
-    def change(self, cluster, action, host):
+    def request_change(self, cluster, action, host):
         core = cluster.hosts[cluster.leader()].core
         member = Member(MemberId(host))
         return cluster_step(cluster, messages.MemberChangeRequested(1, action, member), core)
@@ -146,19 +148,19 @@
         cluster = Cluster(3)
         cluster.run_until(2500)
         name = next(n for n in cluster.hosts if n != cluster.leader())
-        self.change(cluster, messages.MemberAction.REMOVE, name)
+        self.request_change(cluster, messages.MemberAction.REMOVE, name)
         cluster.run_until(12_000)
         core = cluster.hosts[cluster.leader()].core
         self.assertEqual(2, len(core.members.all))
-        self.change(cluster, messages.MemberAction.ADMIT, name)
+        self.request_change(cluster, messages.MemberAction.ADMIT, name)
         cluster.run_until(15_000)
-        self.assertTrue(cluster.is_whole())
+        self.assertTrue(cluster.is_fully_replicated())
 
     def test_a_leader_can_be_removed(self):
         cluster = Cluster(4)
         cluster.run_until(2500)
         first = cluster.leader()
-        self.change(cluster, messages.MemberAction.REMOVE, first)
+        self.request_change(cluster, messages.MemberAction.REMOVE, first)
         cluster.run_until(8000)
         self.assertNotIn(cluster.leader(), (None, first))
 
@@ -168,7 +170,7 @@
         others = [n for n in cluster.hosts if n != cluster.leader()]
         cluster.kill(others[0])
         cluster.run_until(4000)
-        effects = self.change(cluster, messages.MemberAction.REMOVE, others[1])
+        effects = self.request_change(cluster, messages.MemberAction.REMOVE, others[1])
         self.assertIn(messages.RejectReason.UNSAFE, [getattr(e, "reason", None) for e in effects])
 
 
@@ -195,7 +197,7 @@
         (request,) = self.receive(sender, messages.Greeting(0, Member(sender), is_empty=True))
         self.receive(sender, messages.Greeting(0, Member(sender), True, request.nonce))
 
-    def test_a_newer_incarnation_is_heard_once_it_proved_itself(self):
+    def test_a_newer_incarnation_is_accepted_once_it_is_confirmed(self):
         newer = MemberId("a", "a3")
         heartbeat = messages.AppendRequest(5, 0, 0, 0, round=1)
         self.greet(MemberId("a", "a2"))
@@ -246,21 +248,21 @@
         settings = {"snapshot_every_entries": 10, "trailing_entries": 2, "snapshot_chunk_bytes": 64}
         for seed in range(SEEDS // 5):
             cluster = Cluster(seed, **settings)
-            cluster.clients(6000, every=60)
+            cluster.run_clients(6000, every=60)
             cluster.run_until(2500)
             name = next(n for n in sorted(cluster.hosts) if n != cluster.leader())
             cluster.kill(name)
             cluster.run_until(4500)
             cluster.start(name)
             side = cluster.leader() or name if seed % 2 else name
-            cluster.at(cluster.rng.randint(5, 400), cluster.kill, side)
-            cluster.at(cluster.rng.randint(500, 900), cluster.start, side)
+            cluster.schedule(cluster.rng.randint(5, 400), cluster.kill, side)
+            cluster.schedule(cluster.rng.randint(500, 900), cluster.start, side)
             cluster.run_until(7000)
-            cluster.check_end()
+            cluster.check_recovered()
 
 
 class DiskFailureTests(testtools.TestCase):
-    def test_a_failed_sync_ends_taking_part(self):
+    def test_after_a_failed_sync_a_member_takes_no_part(self):
         member = Member(MemberId("a", "1"))
         core = Core(member, Settings(first_hosts=(member,)), StoredState(), random.Random(1), 0)
         core.step(messages.BootstrapForced(), 0)
--- a/packages/agateferry-state/agateferry_state/replication/tests/test_faults.py
+++ b/packages/agateferry-state/agateferry_state/replication/tests/test_faults.py
@@ -7,66 +7,70 @@
 from agateferry_state.replication.tests.support import SEEDS, Cluster, History, ViolationError
 
 
-def sweep(chosen, first_seed=0, disks=(True, True, True), seeds=SEEDS):
-    """Run one case over all seeds; every other seed takes many small snapshots."""
+def run_seeds(choose_faults, first_seed=0, disks=(True, True, True), seeds=SEEDS):
+    """Run the chosen faults with every seed; odd seeds take many small snapshots."""
     for seed in range(first_seed, first_seed + seeds):
-        small = {"snapshot_every_entries": 12, "trailing_entries": 3, "snapshot_chunk_bytes": 100}
-        cluster = Cluster(seed, disks, **(small if seed % 2 else {}))
+        small_snapshots = {
+            "snapshot_every_entries": 12,
+            "trailing_entries": 3,
+            "snapshot_chunk_bytes": 100,
+        }
+        cluster = Cluster(seed, disks, **(small_snapshots if seed % 2 else {}))
         try:
-            faults.run(cluster, chosen(cluster))
+            faults.run(cluster, choose_faults(cluster))
         except Exception as exc:
             raise AssertionError(f"seed {seed}: {exc}") from exc
 
 
 class SingleFaultTests(testtools.TestCase):
     def test_kill(self):
-        sweep(lambda c: [faults.kill])
+        run_seeds(lambda c: [faults.kill])
 
     def test_kill_all(self):
-        sweep(lambda c: [faults.kill_all])
+        run_seeds(lambda c: [faults.kill_all])
 
-    def test_voters_are_killed(self):
-        sweep(lambda c: [faults.kill_voters])
+    def test_voters_are_killed_after_their_vote(self):
+        run_seeds(lambda c: [faults.kill_after_vote])
 
     def test_lose_disk_while_one_lags(self):
-        sweep(lambda c: [faults.lose_disk_while_one_lags])
+        run_seeds(lambda c: [faults.lose_disk_while_one_lags])
 
     def test_lose_disk(self):
-        sweep(lambda c: [faults.lose_disk])
+        run_seeds(lambda c: [faults.lose_disk])
 
     def test_lose_disk_again_after_repair(self):
-        sweep(lambda c: [faults.lose_disk_twice])
+        run_seeds(lambda c: [faults.lose_disk_twice])
 
     def test_freeze_leader(self):
-        sweep(lambda c: [faults.freeze_leader])
+        run_seeds(lambda c: [faults.freeze_leader])
 
-    def test_leader_is_not_heard(self):
-        sweep(lambda c: [faults.cut_out])
+    def test_leader_cannot_send(self):
+        run_seeds(lambda c: [faults.block_outgoing])
 
-    def test_leader_does_not_hear(self):
-        sweep(lambda c: [faults.cut_in])
+    def test_leader_cannot_receive(self):
+        run_seeds(lambda c: [faults.block_incoming])
 
-    def test_one_link_is_cut(self):
-        sweep(lambda c: [faults.cut_one_link])
+    def test_one_blocked_link(self):
+        run_seeds(lambda c: [faults.block_one_link])
 
-    def test_cut_off(self):
-        sweep(lambda c: [faults.cut_off])
+    def test_isolated_host(self):
+        run_seeds(lambda c: [faults.isolate])
 
-    def test_clocks_leap(self):
-        sweep(lambda c: [faults.leap_clock])
+    def test_clocks_jump(self):
+        run_seeds(lambda c: [faults.jump_clock])
 
 
 class PlantedFaultTests(testtools.TestCase):
-    """The checker finds faults that are put in on purpose."""
+    """The checker must find faults that are planted on purpose."""
 
     def assert_found(self, fault, pattern, **planted):
         for name, value in planted.items():
             self.patch(Cluster, name, value)
         with testtools.ExpectedException(AssertionError, pattern):
-            sweep(lambda c: [fault], seeds=max(SEEDS, 500))
+            run_seeds(lambda c: [fault], seeds=max(SEEDS, 500))
 
     def test_vote_is_not_synced(self):
-        self.assert_found(faults.kill_voters, ".*(went down|voted twice)", loses_votes=True)
+        self.assert_found(faults.kill_after_vote, ".*(went down|voted twice)", loses_votes=True)
 
     def test_vote_is_given_twice(self):
         for loses_votes in (False, True):
@@ -98,35 +102,35 @@
     def test_read_without_the_lease(self):
         self.patch(Lease, "is_valid", lambda lease, now_ms: True)
         self.patch(Cluster, "_check_leases", lambda cluster, host: None)
-        self.assert_found(faults.cut_off, ".*read .* after")
+        self.assert_found(faults.isolate, ".*read .* after")
 
     def test_leads_without_the_lease(self):
         self.patch(Lease, "is_valid", lambda lease, now_ms: True)
-        self.assert_found(faults.cut_off, ".*(hold the lease|read)")
+        self.assert_found(faults.isolate, ".*(hold the lease|read)")
 
 
 class PairTests(testtools.TestCase):
-    """Two faults, drawn by the seed."""
+    """Two faults in one run, chosen by the seed."""
 
     def test_pairs(self):
-        sweep(lambda c: c.rng.choices(faults.ALL, k=2), first_seed=10_000)
+        run_seeds(lambda c: c.rng.choices(faults.ALL, k=2), first_seed=10_000)
 
     def test_pairs_with_kill(self):
-        sweep(lambda c: [faults.kill, c.rng.choice(faults.ALL)], first_seed=20_000)
+        run_seeds(lambda c: [faults.kill, c.rng.choice(faults.ALL)], first_seed=20_000)
 
     def test_pairs_with_a_lost_disk(self):
-        sweep(lambda c: [faults.lose_disk, c.rng.choice(faults.ALL)], first_seed=30_000)
+        run_seeds(lambda c: [faults.lose_disk, c.rng.choice(faults.ALL)], first_seed=30_000)
 
     def test_five_hosts(self):
-        sweep(lambda c: c.rng.choices(faults.ALL, k=2), 40_000, disks=(True,) * 5)
+        run_seeds(lambda c: c.rng.choices(faults.ALL, k=2), 40_000, disks=(True,) * 5)
 
 
 class HostsWithoutDiskTests(testtools.TestCase):
     def test_one_disk_of_three(self):
-        sweep(lambda c: [c.rng.choice(faults.ALL)], 50_000, disks=(True, False, False))
+        run_seeds(lambda c: [c.rng.choice(faults.ALL)], 50_000, disks=(True, False, False))
 
     def test_two_disks_of_three(self):
-        sweep(lambda c: [c.rng.choice(faults.ALL)], 60_000, disks=(True, True, False))
+        run_seeds(lambda c: [c.rng.choice(faults.ALL)], 60_000, disks=(True, True, False))
 
     def test_all_killed(self):
-        sweep(lambda c: [faults.kill_all], 70_000, disks=(True, False, False))
+        run_seeds(lambda c: [faults.kill_all], 70_000, disks=(True, False, False))
--- a/packages/agateferry-state/agateferry_state/replication/tests/test_lease.py
+++ b/packages/agateferry-state/agateferry_state/replication/tests/test_lease.py
@@ -4,14 +4,14 @@
 
 
 class LeaseTests(testtools.TestCase):
-    def test_counts_from_the_start_of_the_round_that_was_confirmed(self):
+    def test_the_lease_counts_from_the_start_of_the_confirmed_round(self):
         lease = Lease(lease_ms=800, now_ms=0)
         first = lease.begin_round(100)
         lease.begin_round(400)
         lease.confirm(first)
         self.assertEqual((True, False), (lease.is_valid(899), lease.is_valid(900)))
 
-    def test_an_older_round_does_not_shorten_it(self):
+    def test_an_older_round_does_not_shorten_the_lease(self):
         lease = Lease(lease_ms=800, now_ms=0)
         first, second = lease.begin_round(100), lease.begin_round(400)
         lease.confirm(second)
--- a/packages/agateferry-state/agateferry_state/replication/tests/test_log.py
+++ b/packages/agateferry-state/agateferry_state/replication/tests/test_log.py
@@ -18,7 +18,7 @@
 
 
 class LogTests(testtools.TestCase):
-    def test_a_sync_of_dropped_entries_does_not_count_for_those_in_their_place(self):
+    def test_a_sync_of_truncated_entries_does_not_count_for_their_replacements(self):
         log = Log(None, entries(1, 1))
         first = log.append(entries(1, 1, first=3))
         log.truncate(3)
@@ -28,7 +28,7 @@
         log.mark_synced(second.write_id)
         self.assertEqual(4, log.synced_index)
 
-    def test_members_follow_the_log_back(self):
+    def test_truncation_restores_the_earlier_members(self):
         log = Log(None, entries(1))
         log.append((LogEntry(2, 1, EntryKind.MEMBERS, MEMBERS.encode()),))
         self.assertEqual(MEMBERS, log.members)
@@ -39,7 +39,7 @@
         log = Log(None, entries(1, 1, 1))
         self.assertEqual([2, 1, 1], [len(log.batch(1, *limits)) for limits in BATCH_LIMITS])
 
-    def test_a_place_before_the_start_is_told_where_terms_part_there(self):
+    def test_last_index_with_term_reaches_before_the_log(self):
         log = Log(snapshot(5, 3), entries(3, 3, first=6))
         self.assertEqual(7, log.last_index_with_term_up_to(9, 3))
         self.assertEqual(4, log.last_index_with_term_up_to(7, 2))
