--- a/packages/agateferry-state/agateferry_state/replication/leader_state.py
+++ b/packages/agateferry-state/agateferry_state/replication/leader_state.py
@@ -55,9 +55,9 @@
     """Volatile state of a leader, for one term.
 
     `term_start_index` is the index of the first entry of the leader's own term. Until that entry is
-    committed, no read is answered and no membership change is proposed. `started_ms` is when this
-    member became leader. A round is one numbered set
-    of sends to all peers (see `lease`); `is_round_requested` starts the next one at once.
+    committed, no read is answered and no voter is added or removed. `started_ms` is when this
+    member became leader. A round is one numbered set of sends to all peers (see `lease`);
+    `is_round_requested` starts the next one at the end of the step.
     """
 
     lease: Lease
--- a/packages/agateferry-state/agateferry_state/replication/state.py
+++ b/packages/agateferry-state/agateferry_state/replication/state.py
@@ -69,12 +69,16 @@
     commit_index: int
     applied_index: int
     last_leader_contact_ms: int
-    """When a leader was last heard from, or the process started; votes are withheld after it."""
+    """When a leader was last heard from, or the process started.
+
+    Votes are withheld for `election_timeout_min_ms` after it.
+    """
     election_deadline_ms: int = 0
     greeting_deadline_ms: int = 0
     role: Role = Role.FOLLOWER
     leader: MemberId | None = None
     votes: set[MemberId] = field(default_factory=set)
+    """The members that granted the current vote or pre-vote."""
     is_recovery_candidate: bool = False
     """Whether this election needs only the members with a disk, as all others are superseded."""
     follower_state: FollowerState = field(default_factory=FollowerState)
