--- a/packages/agateferry-state/agateferry_state/replication/core.py
+++ b/packages/agateferry-state/agateferry_state/replication/core.py
@@ -1,13 +1,13 @@
-"""The replication core: one member of a replicated log, with no I/O.
+"""The replication core: one member of a replicated log, without I/O.
 
-It is Raft as in Ongaro, "Consensus: Bridging Theory and Practice" (2014), with pre-vote,
+It implements Raft as in Ongaro, "Consensus: Bridging Theory and Practice" (2014), with pre-vote,
 check-quorum, leader lease, leadership transfer and single-server membership changes. For example
 
     core = Core(me, settings, stored, random.Random(7), now_ms=clock.now_ms())
     effects = core.step(Proposed(1, b"x"), now_ms=clock.now_ms())
 
-gives a `ProposalRejected` while the member does not lead. See `messages` for the order in which
-effects are carried out.
+returns a `ProposalRejected` while the member does not lead. See `messages` for the order in which
+effects must be carried out.
 """
 
 import random
@@ -17,11 +17,11 @@
 
 from agateferry_state.members import Member, MemberId, Members
 from agateferry_state.replication import (
-    changing,
     election,
     follower,
     greeting,
     leader,
+    membership_changes,
     requests,
     snapshots,
 )
@@ -62,10 +62,10 @@
 
 
 class Core:
-    """Decide what one member does; the shell does it.
+    """Turn events into the effects that the driver carries out for one member.
 
-    The state machine must be restored from the stored snapshot, where there is one, before the
-    first step.
+    Where `stored` has a snapshot, the driver restores the state machine from it before the first
+    step.
     """
 
     def __init__(
@@ -84,12 +84,12 @@
             now_ms=now_ms,
             commit_index=log.base_index,
             applied_index=log.base_index,
-            heard_ms=now_ms,
-            greet_deadline_ms=now_ms,
+            last_leader_contact_ms=now_ms,
+            greeting_deadline_ms=now_ms,
         )
         self._state.reset_election_deadline()
-        self._announced = (self._state.leader, self._state.term)
-        self._announced_members = log.members
+        self._reported_leadership = (self._state.leader, self._state.term)
+        self._reported_members = log.members
 
     @property
     def me(self) -> Member:
@@ -98,32 +98,32 @@
 
     @property
     def role(self) -> Role:
-        """Return what this member does in the present term."""
+        """Return this member's role in the current term."""
         return self._state.role
 
     @property
     def leader(self) -> MemberId | None:
-        """Return who leads, as far as this member knows."""
+        """Return the leader, as far as this member knows."""
         return self._state.leader
 
     @property
     def term(self) -> int:
-        """Return the present term."""
+        """Return the current term."""
         return self._state.term
 
     @property
     def members(self) -> Members:
-        """Return the newest members in the local log."""
+        """Return the newest members in the local log, committed or not."""
         return self._state.log.members
 
     @property
     def commit_index(self) -> int:
-        """Return the last entry known to be committed."""
+        """Return the index of the last entry known to be committed."""
         return self._state.commit_index
 
     @property
     def last_index(self) -> int:
-        """Return the last entry in the local log."""
+        """Return the index of the last entry in the local log."""
         return self._state.log.last_index
 
     @property
@@ -133,85 +133,87 @@
 
     @property
     def match_indexes(self) -> dict[MemberId, int]:
-        """Return up to where each member holds the log durably; empty unless this one leads."""
-        leading = self._state.leading
-        if leading is None:
+        """Return the last durable index known of each member; empty unless this one leads."""
+        leader_state = self._state.leader_state
+        if leader_state is None:
             return {}
-        held = {peer: progress.match_index for peer, progress in leading.peers.items()}
-        held[self.me.id] = self._state.log.synced_index
-        return held
+        match_indexes = {
+            peer: progress.match_index for peer, progress in leader_state.peers.items()
+        }
+        match_indexes[self.me.id] = self._state.log.synced_index
+        return match_indexes
 
     @property
     def next_deadline_ms(self) -> int:
         """Return when the next `Tick` is due."""
         state = self._state
-        if state.leading is not None:
-            return state.leading.heartbeat_due_ms
+        if state.leader_state is not None:
+            return state.leader_state.heartbeat_due_ms
         if not state.is_voter and state.leader is None:
-            return min(state.election_deadline_ms, state.greet_deadline_ms)
+            return min(state.election_deadline_ms, state.greeting_deadline_ms)
         return state.election_deadline_ms
 
     def holds_lease(self, now_ms: int) -> bool:
-        """Tell whether this member leads and no other can at `now_ms`."""
-        leading = self._state.leading
-        return leading is not None and leading.lease.is_valid(now_ms)
+        """Tell whether this member leads and no other member can lead at `now_ms`."""
+        leader_state = self._state.leader_state
+        return leader_state is not None and leader_state.lease.is_valid(now_ms)
 
     def preview_change(self, action: MemberAction, host: str) -> Result[Members, RejectReason]:
-        """Return the members after an operator's change, or why it would be refused."""
-        return changing.plan_change(self._state, action, host)
+        """Return the members after an operator's change, or why it would be rejected."""
+        return membership_changes.plan_change(self._state, action, host)
 
     def preview_recovery(self, lost: frozenset[MemberId]) -> Result[Members, RejectReason]:
-        """Return the members after a forced recovery here, or why it would be refused."""
-        return changing.plan_recovery(self._state, lost)
+        """Return the members after a forced recovery on this host, or why it would be rejected."""
+        return membership_changes.plan_recovery(self._state, lost)
 
     def step(self, event: Event, now_ms: int) -> list[Effect]:
-        """Take one event and return the effects to carry out, in order."""
+        """Process one event and return the effects to carry out, in order."""
         return self.step_all((event,), now_ms)
 
     def step_all(self, events: Sequence[Event], now_ms: int) -> list[Effect]:
-        """Take events that wait together; proposals among them share the sends to followers."""
+        """Process several events in one step; their proposals share the sends to followers."""
         state = self._state
         state.now_ms = now_ms
         leader.check_quorum(state)
         for event in events:
             if state.role is Role.FAILED:
-                self._refuse(event)
+                self._reject(event)
             else:
-                self._take(event)
+                self._handle(event)
         if state.role is not Role.FAILED:
-            self._settle()
-        self._announce()
+            self._run_due_actions()
+        self._report_changes()
         effects, state.effects = state.effects, []
         return effects
 
-    def _settle(self) -> None:
-        """Do what is due now, whatever the events were."""
+    def _run_due_actions(self) -> None:
+        """Do what is due now, independent of the events of this step."""
         state = self._state
-        election.on_time(state)
-        greeting.on_time(state)
+        election.start_pre_vote_if_due(state)
+        greeting.send_if_due(state)
         leader.advance_commit(state)
-        changing.on_time(state)
+        membership_changes.propose_next_if_due(state)
         self._apply()
         requests.answer_reads(state)
-        leader.on_time(state)
-        leader.flush(state)
+        leader.send_heartbeats_if_due(state)
+        leader.send_pending(state)
         self._apply()
         requests.answer_reads(state)
-        snapshots.ask_when_due(state)
+        snapshots.request_if_due(state)
 
     def _apply(self) -> None:
         state = self._state
         if state.commit_index > state.applied_index:
-            entries = state.log.between(state.applied_index + 1, state.commit_index)
+            entries = state.log.entries_between(state.applied_index + 1, state.commit_index)
             state.emit(Apply(entries))
             state.applied_index = state.commit_index
 
-    def _take(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         state = self._state
         match event:
             case MessageReceived(sender, recipient, message):
-                if self._is_meant(sender, recipient, message):
-                    self._receive(sender, message)
+                if self._should_accept(sender, recipient, message):
+                    self._handle_message(sender, message)
             case Proposed():
                 requests.on_proposed(state, event)
             case ReadRequested():
@@ -225,23 +227,23 @@
                 state.become_follower(state.term)
                 state.role = Role.FAILED
             case _:
-                self._take_order(event)
+                self._handle_operator_event(event)
 
-    def _take_order(self, event: Event) -> None:
-        """Take an operator's word."""
+    def _handle_operator_event(self, event: Event) -> None:
+        """Process an operator's request."""
         state = self._state
         match event:
             case TransferLeadership():
                 requests.on_transfer(state)
             case MemberChangeRequested():
-                changing.on_requested(state, event)
+                membership_changes.on_change_requested(state, event)
             case RecoveryForced():
-                changing.recover(state, event)
+                membership_changes.force_recovery(state, event)
             case BootstrapForced():
                 if state.log.is_empty:
                     greeting.bootstrap(state, forming=False)
 
-    def _receive(self, sender: MemberId, message: Message) -> None:
+    def _handle_message(self, sender: MemberId, message: Message) -> None:
         state = self._state
         match message:
             case AppendRequest():
@@ -253,7 +255,7 @@
             case VoteResponse():
                 election.on_vote_response(state, sender, message)
             case SnapshotChunk():
-                follower.on_chunk(state, sender, message)
+                follower.on_snapshot_chunk(state, sender, message)
             case SnapshotResponse():
                 snapshots.on_response(state, sender, message)
             case TimeoutNow():
@@ -263,20 +265,25 @@
             case GreetingRequest():
                 greeting.on_request(state, sender, message)
 
-    def _is_meant(self, sender: MemberId, recipient: MemberId, message: Message) -> bool:
-        """Tell whether a message is for this incarnation and from one that still runs."""
+    def _should_accept(self, sender: MemberId, recipient: MemberId, message: Message) -> bool:
+        """Tell whether a message is for this incarnation and its sender is not superseded.
+
+        A superseded sender is asked to prove that it runs, since it may be the newer incarnation. A
+        greeting may also be addressed to the host alone, because its sender may not know which
+        incarnation runs there.
+        """
         state = self._state
         if isinstance(message, Greeting):
             return recipient in (state.me.id, MemberId(state.me.id.host))
         if recipient != state.me.id:
             return False
         if state.is_superseded(sender):
-            greeting.ask(state, sender)
+            greeting.send_request(state, sender)
             return False
         return True
 
-    def _refuse(self, event: Event) -> None:
-        """Answer what waits for an answer, after the disk failed."""
+    def _reject(self, event: Event) -> None:
+        """Reject proposals and reads after the disk failed; ignore all other events."""
         match event:
             case Proposed(proposal_id) | MemberChangeRequested(proposal_id):
                 reason = RejectReason.STORAGE_FAILED
@@ -286,11 +293,11 @@
             case ReadRequested():
                 requests.on_read(self._state, event)
 
-    def _announce(self) -> None:
+    def _report_changes(self) -> None:
         state = self._state
-        if (state.leader, state.term) != self._announced:
-            self._announced = (state.leader, state.term)
+        if (state.leader, state.term) != self._reported_leadership:
+            self._reported_leadership = (state.leader, state.term)
             state.emit(LeadershipChanged(state.leader, state.term))
-        if state.log.members != self._announced_members:
-            self._announced_members = state.log.members
+        if state.log.members != self._reported_members:
+            self._reported_members = state.log.members
             state.emit(MembersChanged(state.log.members))
--- a/packages/agateferry-state/agateferry_state/replication/follower.py
+++ b/packages/agateferry-state/agateferry_state/replication/follower.py
@@ -1,8 +1,9 @@
-"""What a follower does with what the leader sends.
+"""A follower's handling of append requests and snapshot chunks.
 
 Entries are acknowledged once they are durable. The first message of each of the leader's rounds is
-answered at once with what is durable already, so that a slow disk does not end the lease. Where the
-logs part, the answer names a place from which the leader can try again, skipping whole terms.
+answered at once with the index that is durable by then, so that a slow disk does not end the lease.
+Where the logs differ, the answer names an index from which the leader can try again; it skips whole
+terms.
 """
 
 from agateferry_state.members import MemberId
@@ -18,64 +19,68 @@
 
 
 def on_append(state: State, sender: MemberId, request: AppendRequest) -> None:
-    """Take entries or a heartbeat from the leader."""
+    """Append entries from the leader, or answer its heartbeat."""
     if request.term < state.term:
         state.send(sender, AppendResponse(state.term, request.round, success=False))
         return
-    _follow(state, request.term, sender)
+    _accept_leader(state, request.term, sender)
     if request.prev_index < state.log.base_index:
-        _answer_with_committed(state, sender, request)
+        _acknowledge_committed(state, sender, request)
         return
     if state.log.term_at(request.prev_index) != request.prev_term:
-        _refuse(state, sender, request)
+        _reject(state, sender, request)
         return
-    is_new = _merge(state, request.entries)
-    following = state.following
+    is_new = _append_missing(state, request.entries)
+    follower_state = state.follower_state
     last = request.prev_index + len(request.entries)
-    following.verified_index = max(following.verified_index, last)
+    follower_state.verified_index = max(follower_state.verified_index, last)
     state.commit_index = max(state.commit_index, min(request.commit_index, last))
     if is_new:
-        following.unanswered_round = request.round
-    if not is_new or request.round > following.answered_round:
+        follower_state.pending_ack_round = request.round
+    if not is_new or request.round > follower_state.acked_round:
         _acknowledge(state, sender, request.round)
 
 
-def on_chunk(state: State, sender: MemberId, chunk: SnapshotChunk) -> None:
-    """Take a part of a snapshot, or say that the log holds what is in it."""
+def on_snapshot_chunk(state: State, sender: MemberId, chunk: SnapshotChunk) -> None:
+    """Collect a chunk of a snapshot, or acknowledge it where the log covers the snapshot."""
     if chunk.term < state.term:
         response = SnapshotResponse(state.term, chunk.round, chunk.meta.index, 0)
         state.send(sender, response)
         return
-    _follow(state, chunk.term, sender)
+    _accept_leader(state, chunk.term, sender)
     index = chunk.meta.index
     if index <= state.commit_index or state.log.term_at(index) == chunk.meta.term:
         state.commit_index = max(state.commit_index, index)
-        state.following.verified_index = max(state.following.verified_index, index)
+        state.follower_state.verified_index = max(state.follower_state.verified_index, index)
         _acknowledge(state, sender, chunk.round)
         return
-    snapshots.receive(state, sender, chunk)
+    snapshots.receive_chunk(state, sender, chunk)
 
 
 def on_synced(state: State) -> None:
-    """Acknowledge entries that became durable."""
-    following = state.following
-    if state.leading is not None or state.leader is None or not following.unanswered_round:
+    """Acknowledge to the leader the entries that became durable."""
+    follower_state = state.follower_state
+    if (
+        state.leader_state is not None
+        or state.leader is None
+        or not follower_state.pending_ack_round
+    ):
         return
-    _acknowledge(state, state.leader, following.unanswered_round)
-    if state.log.synced_index >= following.verified_index:
-        following.unanswered_round = 0
+    _acknowledge(state, state.leader, follower_state.pending_ack_round)
+    if state.log.synced_index >= follower_state.verified_index:
+        follower_state.pending_ack_round = 0
 
 
-def _follow(state: State, term: int, leader: MemberId) -> None:
-    if state.leading is not None and term == state.term:
+def _accept_leader(state: State, term: int, leader: MemberId) -> None:
+    if state.leader_state is not None and term == state.term:
         raise ValueError(f"{leader} leads in term {term} besides {state.me.id}")
     state.become_follower(term, leader)
-    state.heard_ms = state.now_ms
+    state.last_leader_contact_ms = state.now_ms
     state.reset_election_deadline()
 
 
-def _merge(state: State, entries: tuple[LogEntry, ...]) -> bool:
-    """Append the entries that are missing here; drop what contradicts them."""
+def _append_missing(state: State, entries: tuple[LogEntry, ...]) -> bool:
+    """Append the entries that the log lacks, and truncate it first where it conflicts with them."""
     log = state.log
     missing = tuple(e for e in entries if log.term_at(e.index) != e.term)
     if not missing:
@@ -90,23 +95,26 @@
 
 
 def _acknowledge(state: State, leader: MemberId, round_number: int) -> None:
-    match = min(state.log.synced_index, state.following.verified_index)
-    state.following.answered_round = max(state.following.answered_round, round_number)
+    match = min(state.log.synced_index, state.follower_state.verified_index)
+    state.follower_state.acked_round = max(state.follower_state.acked_round, round_number)
     response = AppendResponse(state.term, round_number, success=True, match_index=match)
     state.send(leader, response)
 
 
-def _answer_with_committed(state: State, sender: MemberId, request: AppendRequest) -> None:
-    """Answer a request from before the log's start: what is committed agrees with any leader."""
-    following = state.following
-    following.verified_index = max(following.verified_index, state.commit_index)
+def _acknowledge_committed(state: State, sender: MemberId, request: AppendRequest) -> None:
+    """Acknowledge up to the commit index a request that starts before the compacted log.
+
+    Committed entries agree with the log of every leader.
+    """
+    follower_state = state.follower_state
+    follower_state.verified_index = max(follower_state.verified_index, state.commit_index)
     _acknowledge(state, sender, request.round)
 
 
-def _refuse(state: State, sender: MemberId, request: AppendRequest) -> None:
-    place = state.log.last_index_up_to(request.prev_index, request.prev_term)
-    term = state.log.term_at(place) or 0
+def _reject(state: State, sender: MemberId, request: AppendRequest) -> None:
+    hint_index = state.log.last_index_with_term_up_to(request.prev_index, request.prev_term)
+    term = state.log.term_at(hint_index) or 0
     response = AppendResponse(
-        state.term, request.round, success=False, hint_index=place, hint_term=term
+        state.term, request.round, success=False, hint_index=hint_index, hint_term=term
     )
     state.send(sender, response)
--- a/packages/agateferry-state/agateferry_state/replication/greeting.py
+++ b/packages/agateferry-state/agateferry_state/replication/greeting.py
@@ -1,62 +1,68 @@
-"""How members that do not vote make themselves known, and how a new cell starts.
-
-A member that is no voter and hears no leader greets every host it knows, and so does a voter that
-heard none for long, because it may have been removed. Whoever is greeted asks
-it to repeat the greeting with a number, so that a greeting that was long on its way is not taken
-for one of now. A confirmed greeting proves which incarnation runs on a host: any other that voted
-there is superseded. A message from one that counts as superseded is answered by the same question,
-because it may be the newer one.
+"""Greetings, by which hosts learn which incarnations run, and the start of a new cell.
+
+A member that is no voter and has no leader greets every host it knows. So does a voter that heard
+from no leader for long, because it may have been removed. The recipient asks the sender to repeat
+its greeting with a nonce, so that a delayed greeting is not taken for a current one. A confirmed
+greeting proves which incarnation runs on a host; any other incarnation of that host is superseded.
+A message from a superseded incarnation is answered with the same request, because it may be the
+newer one.
 """
 
 from agateferry_state.members import Member, MemberId, Members
 from agateferry_state.members.admission import bootstrap_host
 from agateferry_state.replication import leader
 from agateferry_state.replication.messages import Greeting, GreetingRequest
-from agateferry_state.replication.state import Present, Role, State
+from agateferry_state.replication.state import ConfirmedMember, Role, State
 
 GREETING_INTERVAL_MS = 600
 GREETING_VALID_MS = 3000
-VOTER_SILENCE_MS = 5000
+"""How long a nonce may be answered, and an empty host counts as present for a new cell."""
+VOTER_GREETING_DELAY_MS = 5000
+"""How long a voter must have heard from no leader before it greets."""
 
 
-def on_time(state: State) -> None:
-    """Greet all known hosts where due, and start a new cell where that is safe."""
-    if state.leader is not None or state.now_ms < state.greet_deadline_ms:
+def send_if_due(state: State) -> None:
+    """Greet all known hosts if that is due, and start a new cell if that is safe."""
+    if state.leader is not None or state.now_ms < state.greeting_deadline_ms:
         return
-    if state.is_voter and state.now_ms - state.heard_ms < VOTER_SILENCE_MS:
+    if state.is_voter and state.now_ms - state.last_leader_contact_ms < VOTER_GREETING_DELAY_MS:
         return
-    state.greet_deadline_ms = state.now_ms + GREETING_INTERVAL_MS
+    state.greeting_deadline_ms = state.now_ms + GREETING_INTERVAL_MS
     greeting = Greeting(state.term, state.me, state.log.is_empty)
     for host in sorted(_known_hosts(state) - {state.me.id.host}):
         state.send(MemberId(host), greeting)
-    _bootstrap_when_safe(state)
+    _bootstrap_if_safe(state)
 
 
 def on_greeting(state: State, sender: MemberId, greeting: Greeting) -> None:
-    """Ask for a greeting with a number, or take one in."""
+    """Request a greeting with a nonce, or record the member that answered with the right one."""
     if sender != greeting.member.id:
         return
     if not greeting.nonce:
-        ask(state, sender)
+        send_request(state, sender)
         return
-    nonce, asked_ms = state.nonces.get(sender, (0, 0))
+    nonce, asked_ms = state.pending_nonces.get(sender, (0, 0))
     if nonce == greeting.nonce and state.now_ms - asked_ms <= GREETING_VALID_MS:
-        del state.nonces[sender]
-        state.present[sender.host] = Present(greeting.member, greeting.is_empty, state.now_ms)
+        del state.pending_nonces[sender]
+        state.confirmed_members[sender.host] = ConfirmedMember(
+            greeting.member, greeting.is_empty, state.now_ms
+        )
 
 
-def ask(state: State, member_id: MemberId) -> None:
-    """Ask a member to prove that it is the one that runs on its host now."""
-    nonce, asked_ms = state.nonces.get(member_id, (0, 0))
+def send_request(state: State, member_id: MemberId) -> None:
+    """Ask a member to prove, by a greeting with a nonce, that it runs on its host now."""
+    nonce, asked_ms = state.pending_nonces.get(member_id, (0, 0))
     if not nonce or state.now_ms - asked_ms > GREETING_INTERVAL_MS:
         nonce = state.rng.getrandbits(63) + 1
-        state.nonces = {m: n for m, n in state.nonces.items() if m.host != member_id.host}
-        state.nonces[member_id] = (nonce, state.now_ms)
+        state.pending_nonces = {
+            m: n for m, n in state.pending_nonces.items() if m.host != member_id.host
+        }
+        state.pending_nonces[member_id] = (nonce, state.now_ms)
     state.send(member_id, GreetingRequest(state.term, nonce))
 
 
 def on_request(state: State, sender: MemberId, request: GreetingRequest) -> None:
-    """Repeat the greeting with the number asked for."""
+    """Answer with a greeting that repeats the nonce."""
     greeting = Greeting(state.term, state.me, state.log.is_empty, request.nonce)
     state.send(sender, greeting)
 
@@ -64,19 +70,19 @@
 def bootstrap(state: State, forming: bool) -> None:
     """Start a new cell in which this member is the only voter."""
     state.enter_term(state.term + 1, state.me.id)
-    leader.start(state, Members(voters=(state.me,), is_forming=forming))
+    leader.become_leader(state, Members(voters=(state.me,), is_forming=forming))
 
 
-def _bootstrap_when_safe(state: State) -> None:
+def _bootstrap_if_safe(state: State) -> None:
     if not state.settings.may_bootstrap:
         return
     if not state.log.is_empty or state.role is not Role.FOLLOWER:
         return
-    empty: dict[str, Member] = {state.me.id.host: state.me}
-    for host, present in state.present.items():
-        if present.is_empty and state.now_ms - present.at_ms <= GREETING_VALID_MS:
-            empty[host] = present.member
-    if bootstrap_host(empty, state.settings.first_host_names) == state.me.id.host:
+    empty_members: dict[str, Member] = {state.me.id.host: state.me}
+    for host, confirmed in state.confirmed_members.items():
+        if confirmed.is_empty and state.now_ms - confirmed.confirmed_ms <= GREETING_VALID_MS:
+            empty_members[host] = confirmed.member
+    if bootstrap_host(empty_members, state.settings.first_host_names) == state.me.id.host:
         bootstrap(state, forming=len(state.settings.first_hosts) > 1)
 
 
--- a/packages/agateferry-state/agateferry_state/replication/snapshots.py
+++ b/packages/agateferry-state/agateferry_state/replication/snapshots.py
@@ -1,15 +1,16 @@
-"""Snapshots: taking them, dropping the log before them, and sending them in chunks.
+"""Snapshots: taking them, compacting the log, and sending them to peers in chunks.
 
-A chunk is sent once the one before it is acknowledged, and again with each heartbeat while it is
-not, so that losses, a restarted receiver or a new sender only cost time: the receiver says from
-which byte it goes on. A transfer keeps the snapshot it began with, also when a newer one is taken.
+A chunk is sent once the one before it is acknowledged, and resent with each heartbeat until it is
+acknowledged itself. The receiver names the byte at which to continue, so a lost message, a
+restarted receiver or a new leader only delays the transfer. A transfer continues with the snapshot
+that it started with, even if a newer one is taken.
 """
 
 import zlib
 
 from agateferry_state.members import MemberId
 from agateferry_state.replication import acks
-from agateferry_state.replication.leading import Progress
+from agateferry_state.replication.leader_state import Progress
 from agateferry_state.replication.messages import (
     CompactLog,
     InstallSnapshot,
@@ -23,20 +24,20 @@
 from agateferry_state.replication.state import State
 
 
-def ask_when_due(state: State) -> None:
-    """Ask for a snapshot once enough entries were applied since the last one."""
+def request_if_due(state: State) -> None:
+    """Request a snapshot once `snapshot_every_entries` were applied since the last one."""
     newest = state.log.snapshot.meta.index if state.log.snapshot else 0
-    newest = max(newest, state.snapshot_asked_index)
+    newest = max(newest, state.snapshot_requested_index)
     index = state.applied_index
     if index - newest < state.settings.snapshot_every_entries:
         return
-    state.snapshot_asked_index = index
+    state.snapshot_requested_index = index
     term = state.log.term_at(index) or 0
     state.emit(TakeSnapshot(index, term, state.log.members_at(index)))
 
 
 def on_taken(state: State, event: SnapshotTaken) -> None:
-    """Drop the log before a snapshot that is durable now."""
+    """Compact the log after a snapshot became durable."""
     term = state.log.term_at(event.index)
     newest = state.log.snapshot.meta.index if state.log.snapshot else 0
     if term is None or event.index <= newest:
@@ -53,7 +54,10 @@
 
 
 def is_needed(state: State, progress: Progress) -> bool:
-    """Tell whether a peer is so far behind that the log no longer reaches back to it."""
+    """Tell whether a peer needs a snapshot, because the log no longer holds its next entry.
+
+    Starts the transfer with the newest snapshot where none is under way.
+    """
     if progress.snapshot is None and progress.next_index <= state.log.base_index:
         progress.snapshot = state.log.snapshot
         progress.snapshot_offset = 0
@@ -63,7 +67,7 @@
 
 
 def send_chunk(state: State, peer: MemberId, progress: Progress, round_number: int) -> None:
-    """Send the part of the snapshot that the peer waits for."""
+    """Send the chunk of the snapshot that the peer needs next."""
     snapshot = progress.snapshot
     if snapshot is None:
         return
@@ -74,11 +78,11 @@
 
 
 def on_response(state: State, sender: MemberId, response: SnapshotResponse) -> None:
-    """Go on with the part that the receiver asks for, or with the log after the snapshot."""
+    """Continue with the byte that the receiver asks for, or with the log after the snapshot."""
     if response.term > state.term:
         state.become_follower(response.term)
         return
-    progress = acks.note_answer(state, sender, response.term, response.round)
+    progress = acks.record_response(state, sender, response.term, response.round)
     if progress is None or progress.snapshot is None:
         return
     if progress.snapshot.meta.index != response.index:
@@ -90,13 +94,16 @@
         progress.acknowledge(response.index)
 
 
-def receive(state: State, sender: MemberId, chunk: SnapshotChunk) -> None:
-    """Collect a chunk from the leader and install the snapshot once it is whole."""
-    following = state.following
-    if following.snapshot_meta != chunk.meta:
-        following.snapshot_meta = chunk.meta
-        following.snapshot_data = bytearray()
-    data = following.snapshot_data
+def receive_chunk(state: State, sender: MemberId, chunk: SnapshotChunk) -> None:
+    """Collect a chunk from the leader, and install the snapshot once it is complete.
+
+    Where the checksum is wrong, the collected bytes are dropped and requested again.
+    """
+    follower_state = state.follower_state
+    if follower_state.snapshot_meta != chunk.meta:
+        follower_state.snapshot_meta = chunk.meta
+        follower_state.snapshot_data = bytearray()
+    data = follower_state.snapshot_data
     if chunk.offset == len(data):
         data.extend(chunk.data)
     is_whole = len(data) >= chunk.meta.size
@@ -108,8 +115,8 @@
     response = SnapshotResponse(state.term, chunk.round, chunk.meta.index, len(data), is_whole)
     state.send(sender, response)
     if is_whole:
-        following.snapshot_data = bytearray()
-        following.snapshot_meta = None
+        follower_state.snapshot_data = bytearray()
+        follower_state.snapshot_meta = None
 
 
 def _install(state: State, snapshot: Snapshot) -> None:
@@ -118,6 +125,6 @@
     state.log.reset(snapshot)
     state.commit_index = index
     state.applied_index = index
-    state.snapshot_asked_index = index
-    state.following.verified_index = index
-    state.following.unanswered_round = 0
+    state.snapshot_requested_index = index
+    state.follower_state.verified_index = index
+    state.follower_state.pending_ack_round = 0
