--- a/packages/agateferry-standins/agateferry_standins/callers/tally.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/tally.py
@@ -86,7 +86,7 @@
             accepted=tally.accepted(),
             answered=tally.answered(),
             lost=len(tally.lost()),
-            duplicated=len(log.duplicated(once)),
+            duplicated=len(log.duplicated_tasks(once)),
             wrong=len(tally.wrong) + len(tally.check_runs(log)),
             partial_gangs=len(log.partial_gangs()),
         )
--- a/packages/agateferry-standins/agateferry_standins/callers/tests/test_caller.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/tests/test_caller.py
@@ -57,7 +57,7 @@
         text = task["echo"]
         request_id = f"z.{len(self.requests)}"
         self.ids[key] = request_id
-        self.log.started(LeaseRequest("L", request_id, 1, 0, job=body["job"]), task["key"])
+        self.log.record_start(LeaseRequest("L", request_id, 1, 0, job=body["job"]), task["key"])
         self.requests[request_id] = {
             "id": request_id,
             "job": body["job"],
@@ -152,12 +152,12 @@
         kind = JobKind("load-reconcile", "depot", idempotent=False, resend_share=1.0)
         self.run_one(kind)
         self.assertTrue(self.verdict().clean)
-        self.log.started(LeaseRequest("M", "y.0", 1, 0, job="load-reconcile"), "t-1-0")
+        self.log.record_start(LeaseRequest("M", "y.0", 1, 0, job="load-reconcile"), "t-1-0")
         self.assertEqual(1, self.verdict().duplicated)
 
     def test_not_run_with_a_start_at_a_worker_is_wrong(self):
         record = self.run_one(faults=["429"])
-        self.log.started(LeaseRequest("L", "z.0", 1, 0, job="load-reconcile"), record.key)
+        self.log.record_start(LeaseRequest("L", "z.0", 1, 0, job="load-reconcile"), record.key)
         self.assertEqual(1, self.verdict().wrong)
 
 
--- a/packages/agateferry-standins/agateferry_standins/deployment/system.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/system.py
@@ -11,7 +11,7 @@
 from agateferry_standins.deployment.operators import POLL_S, Operator
 from agateferry_standins.deployment.plan import HostPlan, SystemPlan
 from agateferry_standins.deployment.samples import Deployment
-from agateferry_standins.worker import StandInWorker, StartLog, WorkerPlace
+from agateferry_standins.worker import StandInWorker, StartLog, WorkerConfig
 
 READY_S = 30.0
 STOP_S = 20.0
@@ -143,7 +143,7 @@
         for zone in self.plan.zones():
             address = self.plan.of_zone(zone)[0].operators
             _, body = await self.operator.call("GET", "/v1/workers", address=address)
-            wanted = {worker.place.name for worker in self.workers if worker.place.zone == zone}
+            wanted = {worker.config.name for worker in self.workers if worker.config.zone == zone}
             if {worker["name"] for worker in body.get("workers", [])} != wanted:
                 return False
         return True
@@ -161,8 +161,8 @@
         raise TimeoutError(f"waited {timeout_s} s in vain for {what}") from exc
 
 
-def _place(zone: str, number: int, hosts: list[HostPlan]) -> WorkerPlace:
+def _place(zone: str, number: int, hosts: list[HostPlan]) -> WorkerConfig:
     """Return the place of a worker; each starts with another entry host of its zone."""
     turn = number % len(hosts) if hosts else 0
     entries = [host.endpoints for host in hosts[turn:] + hosts[:turn]]
-    return WorkerPlace(f"{zone}-w{number + 1}", zone, f"{zone}-r1", tuple(entries))
+    return WorkerConfig(f"{zone}-w{number + 1}", zone, f"{zone}-r1", tuple(entries))
--- a/packages/agateferry-standins/agateferry_standins/events.py
+++ b/packages/agateferry-standins/agateferry_standins/events.py
@@ -2,6 +2,8 @@
 
 from agateferry_core.logs import Event
 
-ANNOUNCE_FAILED = Event(
-    6001, "announcement failed", "Nothing to do; the worker tries the next entry host."
+HEARTBEAT_FAILED = Event(
+    6001,
+    "heartbeat of a stand-in worker failed",
+    "Nothing to do if an entry host was down; the worker tries the next one.",
 )
--- a/packages/agateferry-standins/agateferry_standins/report.py
+++ b/packages/agateferry-standins/agateferry_standins/report.py
@@ -32,7 +32,7 @@
     troubles = [f"lost: {r.key} {r.kind.job} {r.request_id} {r.detail}" for r in tally.lost()]
     troubles += [f"wrong: {what}" for what in [*tally.wrong, *tally.check_runs(log)]]
     once = frozenset(r.kind.job for r in tally.records if not r.kind.idempotent)
-    troubles += [f"duplicated: {task}" for task in log.duplicated(once)]
+    troubles += [f"duplicated: {task}" for task in log.duplicated_tasks(once)]
     troubles += [f"partial gang: {attempt}" for attempt in log.partial_gangs()]
     for trouble in troubles[:SHOWN]:
         say(f"{name}: {trouble}")
--- a/packages/agateferry-standins/agateferry_standins/tests/support.py
+++ b/packages/agateferry-standins/agateferry_standins/tests/support.py
@@ -77,7 +77,7 @@
         return self.led_by
 
     def busiest_worker(self):
-        return max(self.system.workers, key=lambda worker: worker.table.started)
+        return max(self.system.workers, key=lambda worker: worker.table.started_count)
 
     def freeze(self, name):
         daemon = self.system.daemons[name]
--- a/packages/agateferry-standins/agateferry_standins/tests/test_misbehaviour.py
+++ b/packages/agateferry-standins/agateferry_standins/tests/test_misbehaviour.py
@@ -12,10 +12,10 @@
             sending = self.send((ONCE, URGENT), 100)
             await self.until_accepted(20)
             for worker in self.system.workers:
-                worker.behave(behaviour)
+                worker.set_behaviour(behaviour)
             await self.until_started(sum(self.starts.starts.values()) + FAULTY_STARTS)
             for worker in self.system.workers:
-                worker.behave(Behaviour.SOUND)
+                worker.set_behaviour(Behaviour.SOUND)
             await sending
             self.assert_clean()
 
--- a/packages/agateferry-standins/agateferry_standins/worker/__init__.py
+++ b/packages/agateferry-standins/agateferry_standins/worker/__init__.py
@@ -1,10 +1,10 @@
-"""A stand-in worker: leases, announcements and faults on command."""
+"""A stand-in worker that runs leases, sends heartbeats and shows faults on command."""
 
 from agateferry_standins.worker.behaviour import Behaviour
 from agateferry_standins.worker.leases import LeaseTable
-from agateferry_standins.worker.messages import LeaseRequest, LeaseState, Refusal, WorkerSize
+from agateferry_standins.worker.messages import LeaseRequest, LeaseState, Refusal, WorkerCapacity
 from agateferry_standins.worker.start_log import StartLog
-from agateferry_standins.worker.worker import StandInWorker, WorkerPlace
+from agateferry_standins.worker.worker import StandInWorker, WorkerConfig
 
 __all__ = [
     "Behaviour",
@@ -14,6 +14,6 @@
     "Refusal",
     "StandInWorker",
     "StartLog",
-    "WorkerPlace",
-    "WorkerSize",
+    "WorkerConfig",
+    "WorkerCapacity",
 ]
--- a/packages/agateferry-standins/agateferry_standins/worker/__main__.py
+++ b/packages/agateferry-standins/agateferry_standins/worker/__main__.py
@@ -1,4 +1,4 @@
-"""Run stand-in workers in a process of their own.
+"""Run stand-in workers in a separate process.
 
 For example `python -m agateferry_standins.worker --config workers.toml` with
 
@@ -19,30 +19,30 @@
 from agateferry_core.logs import configure
 from agateferry_standins.worker.behaviour import Behaviour
 from agateferry_standins.worker.start_log import StartLog
-from agateferry_standins.worker.worker import StandInWorker, WorkerPlace
+from agateferry_standins.worker.worker import StandInWorker, WorkerConfig
 
 
-async def run(entries: list[dict[str, Any]]) -> None:
-    """Start a worker for each entry and serve until cancelled."""
+async def run(worker_tables: list[dict[str, Any]]) -> None:
+    """Start a worker for each table of the configuration and serve until cancelled."""
     log = StartLog()
     workers = []
-    for entry in entries:
-        behaviour = Behaviour(entry.pop("behaviour", "sound"))
-        place = WorkerPlace(**{**entry, "entries": tuple(entry["entries"])})
-        worker = StandInWorker(place, log, behaviour=behaviour)
+    for table in worker_tables:
+        behaviour = Behaviour(table.pop("behaviour", "sound"))
+        config = WorkerConfig(**{**table, "entries": tuple(table["entries"])})
+        worker = StandInWorker(config, log, behaviour=behaviour)
         await worker.start()
         workers.append(worker)
     await asyncio.Event().wait()
 
 
 def main() -> None:
-    """Read the command line and run."""
+    """Parse the command line and run the workers of the configuration file."""
     parser = argparse.ArgumentParser(description="Run stand-in workers.")
     parser.add_argument("--config", type=Path, required=True)
     configure()
-    config: Path = parser.parse_args().config
+    path: Path = parser.parse_args().config
     try:
-        asyncio.run(run(tomllib.loads(config.read_text())["workers"]))
+        asyncio.run(run(tomllib.loads(path.read_text())["workers"]))
     except KeyboardInterrupt:
         return
 
--- a/packages/agateferry-standins/agateferry_standins/worker/leases.py
+++ b/packages/agateferry-standins/agateferry_standins/worker/leases.py
@@ -1,7 +1,7 @@
 """The lease table of a worker, as a state machine without I/O.
 
-Each call can be repeated with the same lease and has no second effect. Time comes in with each
-call; `next_due_ms` tells when `advance` has something to do.
+Every call is idempotent for the same lease. The table has no timer: each call reads the clock, and
+`next_due_ms` returns when `advance` has to be called next. All times are in ms of that clock.
 """
 
 from dataclasses import replace
@@ -16,78 +16,86 @@
     LeaseState,
     Refusal,
     Task,
-    WorkerSize,
+    WorkerCapacity,
 )
 from agateferry_standins.worker.start_log import StartLog
 
-REMEMBERED_RELEASES = 100_000
+MAX_RELEASED_LEASES = 100_000
 
-Outcome = Result[Lease, Refusal]
+LeaseResult = Result[Lease, Refusal]
 
 
 class LeaseTable:
-    """Keep the leases of one worker within its size."""
+    """Hold the leases of one worker within its capacity.
 
-    def __init__(self, size: WorkerSize, clock: Clock, log: StartLog) -> None:
-        self.size = size
+    All tasks run at the factor `speed`. While `failing` is set, each task that starts fails at its
+    end.
+    """
+
+    def __init__(self, capacity: WorkerCapacity, clock: Clock, log: StartLog) -> None:
+        self.capacity = capacity
         self.leaving = False
         self.speed = 1.0
         self.failing = False
-        self.started = 0
+        self.started_count = 0
         self._clock = clock
         self._log = log
         self._leases: dict[str, Lease] = {}
         self._released: dict[str, Lease] = {}
-        self._changed: list[Lease] = []
+        self._changed_leases: list[Lease] = []
 
-    def reserve(self, asked: LeaseRequest, ttl_ms: int) -> Outcome:
-        """Hold capacity for a lease; it lapses after `ttl_ms` unless it is started."""
-        known = self._known(asked.lease)
-        if known is not None:
-            return Ok(known)
-        return self._admit(asked).map(lambda lease: self._hold(lease, ttl_ms))
+    def reserve(self, request: LeaseRequest, ttl_ms: int) -> LeaseResult:
+        """Reserve capacity for a lease for `ttl_ms`, within which it has to be started."""
+        lease = self._find(request.lease)
+        if lease is not None:
+            return Ok(lease)
+        return self._admit(request).map(lambda lease: self._set_reservation_expiry(lease, ttl_ms))
 
     def start(
         self,
-        asked: LeaseRequest,
+        request: LeaseRequest,
         task: Task,
         checkpoint_step: int | None = None,
         deadline_ms: int | None = None,
-    ) -> Outcome:
-        """Run the task of a lease, from a checkpoint if one is given.
+    ) -> LeaseResult:
+        """Start the task of a lease, from a checkpoint if one is given.
 
-        A gang's member needs its reservation; a single task can be started without one.
+        A member of a gang must have been reserved; a single task can start without a reservation.
+        `deadline_ms` is the time from now after which the task is stopped.
         """
-        known = self._known(asked.lease)
-        if known is not None and known.state is not LeaseState.RESERVED:
-            return Ok(known)
-        if known is None and asked.members > 1:
+        lease = self._find(request.lease)
+        if lease is not None and lease.state is not LeaseState.RESERVED:
+            return Ok(lease)
+        if lease is None and request.members > 1:
             return Error(Refusal.NO_CAPACITY)
-        if known is None:
-            return self._admit(asked).map(
-                lambda lease: self._run(lease, asked, task, checkpoint_step, deadline_ms)
+        if lease is None:
+            return self._admit(request).map(
+                lambda lease: self._start_task(lease, request, task, checkpoint_step, deadline_ms)
             )
-        return Ok(self._run(known, asked, task, checkpoint_step, deadline_ms))
+        return Ok(self._start_task(lease, request, task, checkpoint_step, deadline_ms))
 
-    def get(self, lease_id: str) -> Outcome:
-        """Return a lease that has not been released."""
+    def get(self, lease_id: str) -> LeaseResult:
+        """Return a lease, or `UNKNOWN_LEASE` if it does not exist or was released."""
         lease = self._leases.get(lease_id)
         if lease is None:
             return Error(Refusal.UNKNOWN_LEASE)
-        self._work(lease)
+        self._update(lease)
         return Ok(lease)
 
-    def checkpoint(self, lease_id: str) -> Outcome:
-        """Store how far a running task has got."""
+    def checkpoint(self, lease_id: str) -> LeaseResult:
+        """Record a checkpoint of a running task: the last whole step that it completed."""
         return self.get(lease_id).map(self._checkpoint)
 
-    def throttle(self, lease_id: str, share: float) -> Outcome:
-        """Let a task run at a share of its speed, 0 to 1."""
+    def throttle(self, lease_id: str, share: float) -> LeaseResult:
+        """Run a task at a share of its full speed, 0 to 1."""
         return self.get(lease_id).map(lambda lease: self._throttle(lease, share))
 
     def stop(self, lease_id: str) -> Lease:
-        """End a lease unless it has ended; a lease not known yet can never start afterwards."""
-        lease = self._known(lease_id)
+        """Stop a lease unless it has ended.
+
+        An unknown lease is recorded as stopped, so that a delayed start has no effect.
+        """
+        lease = self._find(lease_id)
         if lease is None:
             lease = Lease(LeaseRequest(lease_id, "", 0, 0), LeaseState.STOPPED)
             self._leases[lease_id] = lease
@@ -96,135 +104,140 @@
         return lease
 
     def release(self, lease_id: str) -> None:
-        """Forget a result; the lease itself is remembered so that a late start has no effect."""
+        """Drop a lease and its answer; its id is kept so that a delayed start has no effect.
+
+        The last `MAX_RELEASED_LEASES` ids are kept.
+        """
         lease = self._leases.pop(lease_id, None)
         if lease is None:
             return
         if not lease.final:
             self._stop(lease)
         self._released[lease_id] = replace(lease, state=LeaseState.STOPPED, task=Task(0, ""))
-        while len(self._released) > REMEMBERED_RELEASES:
+        while len(self._released) > MAX_RELEASED_LEASES:
             del self._released[next(iter(self._released))]
 
     def advance(self) -> list[Lease]:
-        """Bring every lease up to the present.
+        """Update every lease to the current time.
 
-        Return the leases that lapsed or ended by themselves since the last call, also when another
-        call has already seen them do so.
+        Return the leases that expired or whose task ended since the last call of `advance`, also
+        those that another call has already updated.
         """
-        self._work_all()
-        changed, self._changed = self._changed, []
+        self._update_all()
+        changed, self._changed_leases = self._changed_leases, []
         return changed
 
     def next_due_ms(self) -> int | None:
-        """Return when the next lease lapses, ends or passes its deadline."""
-        times = [t for lease in self._leases.values() for t in self._times(lease)]
+        """Return when the next reservation or deadline expires or task ends, or None."""
+        times = [t for lease in self._leases.values() for t in self._due_times(lease)]
         return min(times, default=None)
 
     def leases(self) -> list[Lease]:
-        """Return the leases that are held or not yet released."""
+        """Return all leases that have not been released."""
         return list(self._leases.values())
 
     def slots_used(self) -> int:
-        """Return how many slots are held."""
+        """Return the number of slots in use, one for each lease that has not ended."""
         return sum(1 for lease in self._leases.values() if not lease.final)
 
     def accelerators_used(self) -> int:
-        """Return how many accelerators are held."""
+        """Return the number of accelerators in use."""
         return self._used("accelerators")
 
-    def _known(self, lease_id: str) -> Lease | None:
+    def _find(self, lease_id: str) -> Lease | None:
         lease = self._leases.get(lease_id)
         if lease is not None:
-            self._work(lease)
+            self._update(lease)
             lease = self._leases.get(lease_id)
         return lease or self._released.get(lease_id)
 
-    def _admit(self, asked: LeaseRequest) -> Outcome:
+    def _admit(self, request: LeaseRequest) -> LeaseResult:
         if self.leaving:
-            self._log.violated("asked-while-leaving")
+            self._log.record_violation("asked-while-leaving")
             return Error(Refusal.LEAVING)
-        self._work_all()
+        self._update_all()
         fits = (
-            self.slots_used() < self.size.slots
-            and self._used("accelerators") + asked.accelerators <= self.size.accelerators
-            and self._used("cpu_cores") + asked.cpu_cores <= self.size.cpu_cores
-            and self._used("memory_mb") + asked.memory_mb <= self.size.memory_mb
+            self.slots_used() < self.capacity.slots
+            and self._used("accelerators") + request.accelerators <= self.capacity.accelerators
+            and self._used("cpu_cores") + request.cpu_cores <= self.capacity.cpu_cores
+            and self._used("memory_mb") + request.memory_mb <= self.capacity.memory_mb
         )
         if not fits:
-            self._log.violated("over-capacity")
+            self._log.record_violation("over-capacity")
             return Error(Refusal.NO_CAPACITY)
-        lease = Lease(asked, LeaseState.RESERVED, anchor_ms=self._clock.now_ms())
-        self._leases[asked.lease] = lease
-        self._log.held(asked)
+        lease = Lease(request, LeaseState.RESERVED, progress_updated_ms=self._clock.now_ms())
+        self._leases[request.lease] = lease
+        self._log.record_lease(request)
         return Ok(lease)
 
-    def _used(self, what: str) -> int:
-        return sum(getattr(x.asked, what) for x in self._leases.values() if not x.final)
+    def _used(self, resource: str) -> int:
+        return sum(
+            getattr(lease.request, resource) for lease in self._leases.values() if not lease.final
+        )
 
-    def _hold(self, lease: Lease, ttl_ms: int) -> Lease:
-        lease.lapses_ms = self._clock.now_ms() + ttl_ms
+    def _set_reservation_expiry(self, lease: Lease, ttl_ms: int) -> Lease:
+        lease.reservation_expires_ms = self._clock.now_ms() + ttl_ms
         return lease
 
-    def _run(
+    def _start_task(
         self,
         lease: Lease,
-        asked: LeaseRequest,
+        request: LeaseRequest,
         task: Task,
         checkpoint_step: int | None,
         deadline_ms: int | None,
     ) -> Lease:
         now_ms = self._clock.now_ms()
-        lease.asked = asked
+        lease.request = request
         lease.state = LeaseState.RUNNING
-        lease.lapses_ms = None
+        lease.reservation_expires_ms = None
         lease.task = replace(task, fail=task.fail or self.failing)
-        lease.anchor_ms = now_ms
+        lease.progress_updated_ms = now_ms
         lease.checkpoint_step = checkpoint_step
         lease.done_ms = task.run_ms * (checkpoint_step or 0) / CHECKPOINT_STEPS
         lease.deadline_ms = None if deadline_ms is None else now_ms + deadline_ms
-        self.started += 1
-        self._log.started(asked, task.key)
+        self.started_count += 1
+        self._log.record_start(request, task.key)
         return lease
 
-    def _work_all(self) -> None:
+    def _update_all(self) -> None:
         for lease in list(self._leases.values()):
-            self._work(lease)
+            self._update(lease)
 
-    def _work(self, lease: Lease) -> None:
-        """Bring one lease up to the present."""
+    def _update(self, lease: Lease) -> None:
+        """Update one lease to the current time."""
         now_ms = self._clock.now_ms()
         if lease.state is LeaseState.RESERVED:
-            self._lapse(lease, now_ms)
+            self._expire_reservation(lease, now_ms)
         if lease.state is not LeaseState.RUNNING:
             return
-        lease.done_ms += (now_ms - lease.anchor_ms) * self._rate(lease)
-        lease.anchor_ms = now_ms
+        lease.done_ms += (now_ms - lease.progress_updated_ms) * self._rate(lease)
+        lease.progress_updated_ms = now_ms
         if lease.done_ms >= lease.task.run_ms:
-            self._end(lease)
+            self._end_task(lease)
         elif lease.deadline_ms is not None and now_ms >= lease.deadline_ms:
             lease.state = LeaseState.STOPPED
         if lease.final:
-            self._changed.append(lease)
+            self._changed_leases.append(lease)
 
-    def _lapse(self, lease: Lease, now_ms: int) -> None:
-        if lease.lapses_ms is None or now_ms < lease.lapses_ms:
+    def _expire_reservation(self, lease: Lease, now_ms: int) -> None:
+        if lease.reservation_expires_ms is None or now_ms < lease.reservation_expires_ms:
             return
-        del self._leases[lease.asked.lease]
-        self._log.let_go(lease.asked)
-        self._changed.append(lease)
+        del self._leases[lease.request.lease]
+        self._log.record_reservation_end(lease.request)
+        self._changed_leases.append(lease)
 
-    def _end(self, lease: Lease) -> None:
+    def _end_task(self, lease: Lease) -> None:
         if lease.task.fail:
             lease.state = LeaseState.FAILED
             lease.error = "the task was told to fail"
             return
         lease.state = LeaseState.FINISHED
-        self._log.finished(lease.asked, lease.task.key)
+        self._log.record_finish(lease.request, lease.task.key)
 
     def _stop(self, lease: Lease) -> None:
         if lease.state is LeaseState.RESERVED:
-            self._log.let_go(lease.asked)
+            self._log.record_reservation_end(lease.request)
         lease.state = LeaseState.STOPPED
 
     def _checkpoint(self, lease: Lease) -> Lease:
@@ -233,20 +246,20 @@
         return lease
 
     def _throttle(self, lease: Lease, share: float) -> Lease:
-        lease.share = min(1.0, max(0.0, share))
+        lease.speed_share = min(1.0, max(0.0, share))
         return lease
 
     def _rate(self, lease: Lease) -> float:
-        return lease.share * self.speed
+        return lease.speed_share * self.speed
 
-    def _times(self, lease: Lease) -> list[int]:
-        if lease.state is LeaseState.RESERVED and lease.lapses_ms is not None:
-            return [lease.lapses_ms]
+    def _due_times(self, lease: Lease) -> list[int]:
+        if lease.state is LeaseState.RESERVED and lease.reservation_expires_ms is not None:
+            return [lease.reservation_expires_ms]
         if lease.state is not LeaseState.RUNNING:
             return []
         times = [] if lease.deadline_ms is None else [lease.deadline_ms]
         rate = self._rate(lease)
         if rate > 0:
             left_ms = (lease.task.run_ms - lease.done_ms) / rate
-            times.append(lease.anchor_ms + max(0, int(left_ms + 0.999)))
+            times.append(lease.progress_updated_ms + max(0, int(left_ms + 0.999)))
         return times
--- a/packages/agateferry-standins/agateferry_standins/worker/messages.py
+++ b/packages/agateferry-standins/agateferry_standins/worker/messages.py
@@ -1,4 +1,4 @@
-"""What goes in and out of a worker's lease table."""
+"""The requests, leases and refusals of a worker's lease table."""
 
 import hashlib
 import json
@@ -6,12 +6,12 @@
 from enum import StrEnum
 from typing import Any
 
-PLAIN_RUN_MS = 20
+DEFAULT_RUN_MS = 20
 CHECKPOINT_STEPS = 10
 
 
 class LeaseState(StrEnum):
-    """Say where a lease is; the last three are final."""
+    """The state of a lease; the last three are final."""
 
     RESERVED = "reserved"
     RUNNING = "running"
@@ -24,7 +24,7 @@
 
 
 class Refusal(StrEnum):
-    """Say why a call had no effect; also the `reason` of its problem details."""
+    """Why a call was refused; also the `reason` of the problem details in the reply."""
 
     NO_CAPACITY = "no-capacity"
     LEAVING = "leaving"
@@ -33,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerSize:
-    """What a worker has to give."""
+class WorkerCapacity:
+    """The resources of a worker, and how many leases and connections it accepts at once."""
 
     accelerators: int = 8
     cpu_cores: int = 64
@@ -45,7 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """What a lease asks for: one member of one attempt of a request."""
+    """The resources that a lease needs for one member of one attempt of a request.
+
+    `lease` is the id of the lease, `members` the size of the gang, 1 for a single task.
+    """
 
     lease: str
     request_id: str
@@ -60,10 +63,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """What a task does, as its payload says: for how long it runs and how it ends.
+    """The simulated work of a task: its duration, its answer and whether it fails.
 
-    A payload such as `{"run_ms": 50, "echo": "text", "fail": false, "key": "k1"}` is obeyed; any
-    other text runs `PLAIN_RUN_MS` and is echoed. `key` is the caller's own name of the request.
+    It is read from a payload such as `{"run_ms": 50, "echo": "text", "fail": false, "key": "k1"}`;
+    a task with any other payload runs for `DEFAULT_RUN_MS` and answers with the payload. `key` is
+    the idempotency key of the caller's request.
     """
 
     run_ms: int
@@ -73,15 +77,15 @@
 
     @staticmethod
     def parse(payload: str) -> "Task":
-        """Read a payload; no payload is an error."""
+        """Parse a payload; every text is valid."""
         try:
             value = json.loads(payload)
         except ValueError:
             value = None
         if not isinstance(value, dict):
-            return Task(run_ms=PLAIN_RUN_MS, echo=payload)
+            return Task(run_ms=DEFAULT_RUN_MS, echo=payload)
         return Task(
-            run_ms=max(0, int(value.get("run_ms", PLAIN_RUN_MS))),
+            run_ms=max(0, int(value.get("run_ms", DEFAULT_RUN_MS))),
             echo=str(value.get("echo", payload)),
             fail=bool(value.get("fail", False)),
             key=str(value.get("key", "")),
@@ -90,30 +94,30 @@
 
 @dataclass(slots=True)
 class Lease:
-    """One lease with the progress of its task.
+    """A lease and the progress of its task.
 
-    `done_ms` is the work done at the reading `anchor_ms`; from there it grows by `share` for each
-    millisecond that the task runs.
+    `done_ms` is the work done at the time `progress_updated_ms`, in ms at full speed. It grows by
+    `speed_share` times the worker's speed for each millisecond that the task runs.
     """
 
-    asked: LeaseRequest
+    request: LeaseRequest
     state: LeaseState
-    lapses_ms: int | None = None
+    reservation_expires_ms: int | None = None
     deadline_ms: int | None = None
     task: Task = field(default_factory=lambda: Task(0, ""))
     done_ms: float = 0.0
-    anchor_ms: int = 0
-    share: float = 1.0
+    progress_updated_ms: int = 0
+    speed_share: float = 1.0
     checkpoint_step: int | None = None
     error: str = ""
 
     @property
     def final(self) -> bool:
-        """Tell whether the lease has reached its end."""
+        """Tell whether the lease is in a final state."""
         return self.state in FINAL_STATES
 
     def progress(self) -> float:
-        """Return the share of the work that is done, 0 to 1."""
+        """Return the completed share of the work, 0 to 1."""
         if self.state is LeaseState.FINISHED:
             return 1.0
         if self.task.run_ms == 0:
@@ -121,12 +125,12 @@
         return min(1.0, self.done_ms / self.task.run_ms)
 
     def as_json(self) -> dict[str, Any]:
-        """Return the lease as the workers' interface shows it."""
+        """Return the lease as a JSON object of the workers' HTTP interface."""
         body: dict[str, Any] = {
-            "lease": self.asked.lease,
-            "request_id": self.asked.request_id,
-            "attempt": self.asked.attempt,
-            "member": self.asked.member,
+            "lease": self.request.lease,
+            "request_id": self.request.request_id,
+            "attempt": self.request.attempt,
+            "member": self.request.member,
             "state": str(self.state),
             "progress": round(self.progress(), 4),
             "checkpoint_step": self.checkpoint_step,
--- a/packages/agateferry-standins/agateferry_standins/worker/start_log.py
+++ b/packages/agateferry-standins/agateferry_standins/worker/start_log.py
@@ -1,8 +1,8 @@
-"""Count what workers did, outside the system.
+"""A log of what the workers did, kept independently of the system under test.
 
-One log is shared by all workers of a run. It is the witness for three promises: a request that is
-not idempotent starts at most once, no member of a gang runs unless all members hold their leases,
-and no worker is asked for more than it has.
+One log is shared by all workers of a run. Three guarantees are checked against it: a request that
+is not idempotent starts at most once, no member of a gang runs unless all members hold their
+leases, and no worker receives more leases or connections than it has capacity for.
 """
 
 from collections import Counter
@@ -10,12 +10,12 @@
 
 from agateferry_standins.worker.messages import LeaseRequest
 
-Attempt = tuple[str, int]
+AttemptKey = tuple[str, int]
 
 
 @dataclass(slots=True)
 class GangAttempt:
-    """The members of one attempt of a gang, by what they have reached."""
+    """The members of one attempt of a gang that hold a lease, have started or have finished."""
 
     members: int
     holding: set[int] = field(default_factory=set)
@@ -23,61 +23,64 @@
     finished: set[int] = field(default_factory=set)
 
     @property
-    def partial(self) -> bool:
-        """Tell whether some member did its whole work while another never began."""
+    def is_partial(self) -> bool:
+        """Tell whether a member finished while another never started."""
         return bool(self.finished) and len(self.started) < self.members
 
 
 class StartLog:
-    """Collect the starts and ends that every stand-in worker saw."""
+    """Count the starts, finishes and violations at all stand-in workers of a run.
+
+    `starts` and `finishes` are by job, request key and member; `violations` are by kind.
+    """
 
     def __init__(self) -> None:
         self.starts: Counter[tuple[str, str, int]] = Counter()
         self.finishes: Counter[tuple[str, str, int]] = Counter()
         self.violations: Counter[str] = Counter()
-        self._gangs: dict[Attempt, GangAttempt] = {}
-        self._early: set[Attempt] = set()
-
-    def held(self, asked: LeaseRequest) -> None:
-        """Note that a member holds its lease."""
-        if asked.members > 1:
-            self._gang(asked).holding.add(asked.member)
-
-    def let_go(self, asked: LeaseRequest) -> None:
-        """Note that a member's reservation ended before it started."""
-        if asked.members > 1:
-            self._gang(asked).holding.discard(asked.member)
-
-    def started(self, asked: LeaseRequest, key: str) -> None:
-        """Note the start of a task; `key` is the caller's name of the request, if it gave one."""
-        self.starts[(asked.job, key or asked.request_id, asked.member)] += 1
-        if asked.members == 1:
+        self._gangs: dict[AttemptKey, GangAttempt] = {}
+        self._premature_starts: set[AttemptKey] = set()
+
+    def record_lease(self, request: LeaseRequest) -> None:
+        """Record that a member of a gang holds a lease, reserved or running."""
+        if request.members > 1:
+            self._gang(request).holding.add(request.member)
+
+    def record_reservation_end(self, request: LeaseRequest) -> None:
+        """Record that a member's reservation expired or was stopped before the member started."""
+        if request.members > 1:
+            self._gang(request).holding.discard(request.member)
+
+    def record_start(self, request: LeaseRequest, key: str) -> None:
+        """Record the start of a task; `key` is the key in its payload, or empty."""
+        self.starts[(request.job, key or request.request_id, request.member)] += 1
+        if request.members == 1:
             return
-        gang = self._gang(asked)
-        gang.holding.add(asked.member)
-        gang.started.add(asked.member)
-        if len(gang.holding) < asked.members:
-            self._early.add((asked.request_id, asked.attempt))
-
-    def finished(self, asked: LeaseRequest, key: str) -> None:
-        """Note that a task did its whole work."""
-        self.finishes[(asked.job, key or asked.request_id, asked.member)] += 1
-        if asked.members > 1:
-            self._gang(asked).finished.add(asked.member)
-
-    def violated(self, what: str) -> None:
-        """Note that a worker was asked for more than it has."""
-        self.violations[what] += 1
-
-    def duplicated(self, jobs: frozenset[str]) -> list[tuple[str, str, int]]:
-        """Return the tasks of these jobs that started more than once."""
+        gang = self._gang(request)
+        gang.holding.add(request.member)
+        gang.started.add(request.member)
+        if len(gang.holding) < request.members:
+            self._premature_starts.add((request.request_id, request.attempt))
+
+    def record_finish(self, request: LeaseRequest, key: str) -> None:
+        """Record that a task completed all its work."""
+        self.finishes[(request.job, key or request.request_id, request.member)] += 1
+        if request.members > 1:
+            self._gang(request).finished.add(request.member)
+
+    def record_violation(self, kind: str) -> None:
+        """Record a call that a worker had to refuse, or a connection above its limit."""
+        self.violations[kind] += 1
+
+    def duplicated_tasks(self, jobs: frozenset[str]) -> list[tuple[str, str, int]]:
+        """Return the job, key and member of each task of `jobs` that started more than once."""
         return [task for task, n in self.starts.items() if n > 1 and task[0] in jobs]
 
-    def partial_gangs(self) -> list[Attempt]:
-        """Return the attempts of which a part ran without the whole."""
-        late = {attempt for attempt, gang in self._gangs.items() if gang.partial}
-        return sorted(late | self._early)
+    def partial_gangs(self) -> list[AttemptKey]:
+        """Return attempts that ran only in part or started before all members held leases."""
+        incomplete = {attempt for attempt, gang in self._gangs.items() if gang.is_partial}
+        return sorted(incomplete | self._premature_starts)
 
-    def _gang(self, asked: LeaseRequest) -> GangAttempt:
-        attempt = (asked.request_id, asked.attempt)
-        return self._gangs.setdefault(attempt, GangAttempt(asked.members))
+    def _gang(self, request: LeaseRequest) -> GangAttempt:
+        attempt = (request.request_id, request.attempt)
+        return self._gangs.setdefault(attempt, GangAttempt(request.members))
--- a/packages/agateferry-standins/agateferry_standins/worker/tests/test_worker.py
+++ b/packages/agateferry-standins/agateferry_standins/worker/tests/test_worker.py
@@ -8,16 +8,16 @@
 from agateferry_core.support import run_async
 from agateferry_standins.worker.behaviour import Behaviour
 from agateferry_standins.worker.start_log import StartLog
-from agateferry_standins.worker.worker import StandInWorker, WorkerPlace
+from agateferry_standins.worker.worker import StandInWorker, WorkerConfig
 
 
 class FakeEntry:
-    """Take announcements and answer them with instructions set by the test."""
+    """Receive heartbeats and reply with the instructions that the test sets."""
 
     def __init__(self):
-        self.bodies = []
-        self.answer = {"heartbeat_ms": 2000, "stop": [], "release": []}
-        self.arrived = asyncio.Condition()
+        self.heartbeats = []
+        self.reply = {"heartbeat_ms": 2000, "stop": [], "release": []}
+        self.received = asyncio.Condition()
 
     async def start(self):
         app = web.Application()
@@ -28,21 +28,21 @@
         return f"127.0.0.1:{self.runner.addresses[0][1]}"
 
     async def _announce(self, req):
-        self.bodies.append(await req.json())
-        async with self.arrived:
-            self.arrived.notify_all()
-        return web.json_response(self.answer)
+        self.heartbeats.append(await req.json())
+        async with self.received:
+            self.received.notify_all()
+        return web.json_response(self.reply)
 
-    async def until(self, holds):
-        async with self.arrived:
-            await self.arrived.wait_for(lambda: any(holds(body) for body in self.bodies))
+    async def wait_for_heartbeat(self, condition):
+        async with self.received:
+            await self.received.wait_for(lambda: any(condition(body) for body in self.heartbeats))
 
 
 class StandInWorkerTests(testtools.TestCase):
-    def in_loop(self, test, entries=()):
+    def with_worker(self, test, entries=()):
         async def main():
             self.log = StartLog()
-            self.worker = StandInWorker(WorkerPlace("w1", "z", "r1", tuple(entries)), self.log)
+            self.worker = StandInWorker(WorkerConfig("w1", "z", "r1", tuple(entries)), self.log)
             await self.worker.start()
             try:
                 async with aiohttp.ClientSession(f"http://{self.worker.address}") as session:
@@ -77,15 +77,15 @@
         async with session.post(url, json=self.body(**more), headers=headers) as resp:
             return resp.status, await resp.json()
 
-    def test_a_start_that_waits_gets_the_whole_answer(self):
+    def test_a_start_that_waits_returns_the_answer(self):
         async def test(session):
             status, lease = await self.start(session)
             self.assertEqual((200, "finished", "hi"), (status, lease["state"], lease["answer"]))
             self.assertEqual(hashlib.sha256(b"hi").hexdigest(), lease["digest"])
 
-        self.in_loop(test)
+        self.with_worker(test)
 
-    def test_a_start_that_does_not_wait_is_asked_for_later(self):
+    def test_a_start_that_does_not_wait_can_be_polled(self):
         async def test(session):
             status, lease = await self.start(session, wait_s=0, payload='{"run_ms": 50}')
             self.assertEqual((202, "running"), (status, lease["state"]))
@@ -93,68 +93,74 @@
             async with session.get("/v1/leases/L1", headers=headers) as resp:
                 self.assertEqual((200, "finished"), (resp.status, (await resp.json())["state"]))
 
-        self.in_loop(test)
+        self.with_worker(test)
 
     def test_another_incarnation_is_refused(self):
         async def test(session):
             status, problem = await self.start(session, incarnation="old")
             self.assertEqual((409, "wrong-incarnation"), (status, problem["reason"]))
 
-        self.in_loop(test)
+        self.with_worker(test)
 
-    def test_a_truncated_answer_fails_at_the_client(self):
+    def test_a_truncated_reply_is_an_error_at_the_client(self):
         async def test(session):
-            self.worker.behave(Behaviour.TRUNCATED)
+            self.worker.set_behaviour(Behaviour.TRUNCATED)
             with testtools.ExpectedException(aiohttp.ClientPayloadError):
                 await self.start(session)
             self.assertEqual(1, sum(self.log.starts.values()))
 
-        self.in_loop(test)
+        self.with_worker(test)
 
-    def test_a_wrong_answer_is_that_of_another_lease(self):
+    def test_a_wrong_reply_is_that_of_another_lease(self):
         async def test(session):
             await self.start(session, lease="L1")
-            self.worker.behave(Behaviour.WRONG)
+            self.worker.set_behaviour(Behaviour.WRONG)
             _, lease = await self.start(session, lease="L2")
             self.assertEqual("L1", lease["lease"])
 
-        self.in_loop(test)
+        self.with_worker(test)
 
-    def test_an_answer_sent_twice_arrives_whole(self):
+    def test_a_reply_sent_twice_is_read_once(self):
         async def test(session):
-            self.worker.behave(Behaviour.TWICE)
+            self.worker.set_behaviour(Behaviour.TWICE)
             for lease in ("L1", "L2"):
                 _, got = await self.start(session, lease=lease)
                 self.assertEqual(lease, got["lease"])
 
-        self.in_loop(test)
+        self.with_worker(test)
 
-    def test_a_silent_worker_starts_and_says_nothing(self):
+    def test_a_silent_worker_starts_the_task_without_a_reply(self):
         async def test(session):
-            self.worker.behave(Behaviour.SILENT)
+            self.worker.set_behaviour(Behaviour.SILENT)
             with testtools.ExpectedException(TimeoutError):
                 async with asyncio.timeout(0.2):
                     await self.start(session)
             self.assertEqual(1, sum(self.log.starts.values()))
 
-        self.in_loop(test)
+        self.with_worker(test)
 
-    def test_announces_ends_at_once_and_obeys(self):
+    def test_ends_are_reported_at_once_and_instructions_are_applied(self):
         async def main():
             entry = FakeEntry()
             address = await entry.start()
-            dead = "127.0.0.1:1"
+            unreachable = "127.0.0.1:1"
             self.log = StartLog()
-            self.worker = StandInWorker(WorkerPlace("w1", "z", "r1", (dead, address)), self.log)
+            self.worker = StandInWorker(
+                WorkerConfig("w1", "z", "r1", (unreachable, address)), self.log
+            )
             await self.worker.start()
             async with aiohttp.ClientSession(f"http://{self.worker.address}") as session:
                 await self.start(session)
-                await entry.until(lambda b: [x["state"] for x in b["leases"]] == ["finished"])
-                entry.answer["release"] = ["L1"]
+                await entry.wait_for_heartbeat(
+                    lambda b: [x["state"] for x in b["leases"]] == ["finished"]
+                )
+                entry.reply["release"] = ["L1"]
                 self.worker.leave()
-                await entry.until(lambda b: b["state"] == "leaving" and b["leases"])
-                self.worker.announcer.at_once()
-                await entry.until(lambda b: b["state"] == "leaving" and not b["leases"])
+                await entry.wait_for_heartbeat(lambda b: b["state"] == "leaving" and b["leases"])
+                self.worker.heartbeat_sender.send_soon()
+                await entry.wait_for_heartbeat(
+                    lambda b: b["state"] == "leaving" and not b["leases"]
+                )
             await self.worker.stop()
             await entry.runner.cleanup()
 
