--- a/packages/agateferry-standins/agateferry_standins/demo.py
+++ b/packages/agateferry-standins/agateferry_standins/demo.py
@@ -23,7 +23,7 @@
     System,
     make_plan,
 )
-from agateferry_standins.deployment.plan import check_ports, claim_folder
+from agateferry_standins.deployment.plan import check_ports, create_run_folder
 from agateferry_standins.report import quiet_logs, say, tell_run
 from agateferry_standins.worker import StartLog
 
@@ -74,7 +74,7 @@
     parser.add_argument("--folder", type=Path, default=default_folder)
     args = parser.parse_args()
     try:
-        claim_folder(args.folder)
+        create_run_folder(args.folder)
     except PlanError as exc:
         say(f"demo: {exc}")
         return EXIT_NOT_STARTED
--- a/packages/agateferry-standins/agateferry_standins/deployment/__init__.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/__init__.py
@@ -1,4 +1,4 @@
-"""Whole systems on loopback: settings, daemons, workers, balancer and records."""
+"""Whole systems on the loopback interface: daemons, workers, balancer and records."""
 
 from agateferry_standins.deployment.daemon import DaemonProcess
 from agateferry_standins.deployment.plan import HostPlan, PlanError, SystemPlan, make_plan
@@ -6,7 +6,7 @@
     LAGERTELLER,
     PASS_SERVICE,
     Deployment,
-    StoredRecord,
+    OperatorRecord,
 )
 from agateferry_standins.deployment.system import StartError, System
 
@@ -17,7 +17,7 @@
     "Deployment",
     "HostPlan",
     "PlanError",
-    "StoredRecord",
+    "OperatorRecord",
     "System",
     "StartError",
     "SystemPlan",
--- a/packages/agateferry-standins/agateferry_standins/deployment/daemon.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/daemon.py
@@ -1,4 +1,4 @@
-"""One agateferryd process, started and ended by its process id."""
+"""A process of agateferryd, controlled by signals to its process id."""
 
 import asyncio
 import os
@@ -6,34 +6,34 @@
 import sys
 from pathlib import Path
 
-from agateferry_standins.deployment.plan import HostPlan, note_pid
+from agateferry_standins.deployment.plan import HostPlan, record_pid
 
-COMMAND = (sys.executable, "-m", "agateferry_service", "--config")
+DAEMON_COMMAND = (sys.executable, "-m", "agateferry_service", "--config")
 LOG_TAIL_LINES = 5
 
 
 class DaemonProcess:
-    """Start, stop, kill, freeze and thaw the daemon of one host."""
+    """Start, stop and kill the daemon of one host, and send it signals."""
 
-    def __init__(self, plan: HostPlan, command: tuple[str, ...] = COMMAND) -> None:
+    def __init__(self, plan: HostPlan, command: tuple[str, ...] = DAEMON_COMMAND) -> None:
         self.plan = plan
         self._command = command
         self._process: asyncio.subprocess.Process | None = None
 
     @property
     def pid(self) -> int:
-        """Return the process id of the running daemon."""
+        """Return the process id of the daemon that was started last."""
         if self._process is None:
             raise RuntimeError(f"{self.plan.name} was never started")
         return self._process.pid
 
     @property
     def running(self) -> bool:
-        """Tell whether the daemon was started and has not ended."""
+        """Tell whether the daemon was started and has not exited."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
-        """Start the daemon; its folders and settings stand already."""
+        """Start the daemon; its folder and settings file must exist."""
         env = {**os.environ, "PYTHONPATH": os.pathsep.join(p for p in sys.path if p)}
         log = os.open(self.plan.log_file, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
         try:
@@ -42,16 +42,16 @@
             )
         finally:
             os.close(log)
-        note_pid(self.plan.folder.parent, self.pid)
+        record_pid(self.plan.folder.parent, self.pid)
 
     async def kill(self) -> None:
-        """End the daemon as a power cut would."""
+        """Kill the daemon with SIGKILL, as in a power failure, and wait for its exit."""
         if self.running:
             self.signal(signal.SIGKILL)
             await self._wait()
 
     async def terminate(self, timeout_s: float) -> int | None:
-        """Ask for a planned stop and return the exit code, or None when it took too long."""
+        """Request a graceful stop with SIGTERM; return the exit code, or None after `timeout_s`."""
         if not self.running:
             return self._process.returncode if self._process else 0
         self.signal(signal.SIGTERM)
@@ -61,11 +61,11 @@
             return None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, such as SIGSTOP and SIGCONT."""
+        """Send a signal, such as SIGSTOP to freeze the daemon and SIGCONT to resume it."""
         os.kill(self.pid, number)
 
     def log_tail(self) -> str:
-        """Return the last lines that the daemon wrote."""
+        """Return the last `LOG_TAIL_LINES` lines of the daemon's log."""
         lines = Path(self.plan.log_file).read_text(errors="replace").splitlines()
         return "\n".join(lines[-LOG_TAIL_LINES:])
 
--- a/packages/agateferry-standins/agateferry_standins/deployment/operators.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/operator_client.py
@@ -1,43 +1,46 @@
-"""The few operators' calls that a driver makes."""
+"""A client of the operators' port for the programs that run a system."""
 
 import asyncio
 from typing import Any
 
 import aiohttp
 
-from agateferry_standins.deployment.samples import StoredRecord
+from agateferry_standins.deployment.samples import OperatorRecord
 
 CALL_TIMEOUT_S = 5.0
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 
 
-class Operator:
-    """Talk to the operators' port of entry hosts, the next one when one fails."""
+class OperatorClient:
+    """Call the operators' ports of the hosts in turn, each `ip:port`."""
 
     def __init__(self, session: aiohttp.ClientSession, addresses: list[str]) -> None:
         self._session = session
         self._addresses = addresses
-        self._turn = 0
+        self._next_index = 0
 
-    async def put(self, record: StoredRecord, replaces: int = 0) -> dict[str, Any]:
-        """Store a record; a refusal for good raises ValueError with the answer."""
+    async def put_record(self, record: OperatorRecord, replaces: int = 0) -> dict[str, Any]:
+        """Store a record and return the reply.
+
+        It is sent again after a lost connection, 500 or 503; any other status raises ValueError.
+        """
         body = {"schema": "v2", "replaces": replaces, "content": record.content}
         path = f"/v1/records/{record.kind}/{record.name}"
         while True:
-            status, answer = await self.call("PUT", path, body)
+            status, reply = await self.call("PUT", path, body)
             if status == 200:
-                return answer
+                return reply
             if status not in (0, 500, 503):
-                raise ValueError(f"{path} was refused: {status} {answer}")
-            await asyncio.sleep(POLL_S)
+                raise ValueError(f"{path} was refused: {status} {reply}")
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def call(
         self, method: str, path: str, body: Any = None, address: str = ""
     ) -> tuple[int, dict[str, Any]]:
-        """Make one call; status 0 stands for a lost connection."""
+        """Make one call and return the HTTP status and JSON body; status 0 means no valid reply."""
         if not address:
-            address = self._addresses[self._turn % len(self._addresses)]
-            self._turn += 1
+            address = self._addresses[self._next_index % len(self._addresses)]
+            self._next_index += 1
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
             async with self._session.request(
@@ -47,8 +50,8 @@
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as exc:
             return 0, {"detail": repr(exc)}
 
-    async def ready(self, address: str) -> bool:
-        """Tell whether a host is ready for callers."""
+    async def is_ready(self, address: str) -> bool:
+        """Tell whether a host is ready to serve callers."""
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
             async with self._session.get(f"http://{address}/readyz", timeout=timeout) as resp:
@@ -57,6 +60,6 @@
             return False
 
     async def metrics(self, address: str) -> str:
-        """Return the metrics of a host in the text form of Prometheus."""
+        """Return the metrics of a host in the text format of Prometheus."""
         async with self._session.get(f"http://{address}/metrics") as resp:
             return await resp.text()
--- a/packages/agateferry-standins/agateferry_standins/deployment/plan.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/plan.py
@@ -1,4 +1,4 @@
-"""Where each daemon of a system listens and keeps its state, and its settings file."""
+"""The addresses, folders and settings files of the daemons of a system."""
 
 import json
 import random
@@ -6,25 +6,25 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-HOST = "127.0.0.1"
+LOOPBACK_IP = "127.0.0.1"
 HOSTS_PER_ZONE = 3
 PORTS_PER_HOST = 4
 RECORDS_VOTERS = 5
 PIDS_FILE = "pids"
-FREE_PORTS = (10_000, 32_000)
-PICK = random.SystemRandom()
+PORT_RANGE = (10_000, 32_000)
+PORT_RANDOM = random.SystemRandom()
 
 
 class PlanError(Exception):
-    """A system cannot be set up here; the text says what to do."""
+    """A port or folder is not available; the message says what to do."""
 
 
 @dataclass(frozen=True, slots=True)
 class HostPlan:
-    """One daemon: its name, zone, addresses (`ip:port`) and folder.
+    """The name, zone, addresses (`ip:port`) and folder of one daemon.
 
-    `peers` is what it listens on; `peers_seen` is what the other daemons are told, which differs
-    when a relay stands between.
+    `peers` is the address on which it listens for peers. `advertised_peers` is the address in the
+    settings of the other daemons, which differs when a relay forwards their connections.
     """
 
     name: str
@@ -33,58 +33,60 @@
     operators: str
     endpoints: str
     peers: str
-    peers_seen: str
+    advertised_peers: str
     folder: Path
     records_voter: bool
 
     @property
     def settings_file(self) -> Path:
-        """Return where the settings of this daemon are written."""
+        """Return the path of the settings file."""
         return self.folder / "agateferryd.toml"
 
     @property
     def data_folder(self) -> Path:
-        """Return where this daemon keeps its state."""
+        """Return the path of the folder with the daemon's state."""
         return self.folder / "data"
 
     @property
     def log_file(self) -> Path:
-        """Return where the log lines of this daemon go."""
+        """Return the path of the file to which the daemon logs."""
         return self.folder / "log.jsonl"
 
 
 @dataclass(frozen=True, slots=True)
 class SystemPlan:
-    """All daemons of a system; `extra` is TOML that each settings file ends with."""
+    """All daemons of a system; `extra_settings` is TOML appended to each settings file."""
 
     folder: Path
     hosts: tuple[HostPlan, ...]
-    extra: str = ""
+    extra_settings: str = ""
 
-    def of_zone(self, zone: str) -> list[HostPlan]:
-        """Return the daemons of one zone."""
+    def hosts_in_zone(self, zone: str) -> list[HostPlan]:
+        """Return the hosts of one zone."""
         return [host for host in self.hosts if host.zone == zone]
 
     def zones(self) -> list[str]:
-        """Return the zones in order."""
+        """Return the zones in the order of the plan."""
         return list(dict.fromkeys(host.zone for host in self.hosts))
 
-    def with_peers_seen(self, name: str, address: str) -> "SystemPlan":
-        """Return the plan with another peers' address told for one daemon."""
-        hosts = tuple(replace(h, peers_seen=address) if h.name == name else h for h in self.hosts)
+    def with_advertised_peers(self, name: str, address: str) -> "SystemPlan":
+        """Return a copy of the plan with another advertised peers' address for one host."""
+        hosts = tuple(
+            replace(h, advertised_peers=address) if h.name == name else h for h in self.hosts
+        )
         return replace(self, hosts=hosts)
 
-    def write(self) -> None:
-        """Create the folders and write every settings file."""
+    def write_settings(self) -> None:
+        """Create the folder of each daemon and write its settings file."""
         for host in self.hosts:
             host.folder.mkdir(parents=True)
             host.settings_file.write_text(settings_text(self, host))
 
 
 def make_plan(
-    zones: tuple[str, ...], folder: Path, base_port: int | None = None, extra: str = ""
+    zones: tuple[str, ...], folder: Path, base_port: int | None = None, extra_settings: str = ""
 ) -> SystemPlan:
-    """Plan three daemons for each zone, on ports from `base_port` on or on free ones."""
+    """Plan three daemons for each zone, on consecutive ports from `base_port` or on free ones."""
     count = len(zones) * HOSTS_PER_ZONE * PORTS_PER_HOST
     ports = free_ports(count) if base_port is None else list(range(base_port, base_port + count))
     hosts: list[HostPlan] = []
@@ -92,7 +94,7 @@
         for zone in zones:
             name = f"{zone}-h{number + 1}"
             callers, operators, endpoints, peers = (
-                f"{HOST}:{ports.pop(0)}" for _ in range(PORTS_PER_HOST)
+                f"{LOOPBACK_IP}:{ports.pop(0)}" for _ in range(PORTS_PER_HOST)
             )
             host = HostPlan(
                 name=name,
@@ -101,19 +103,19 @@
                 operators=operators,
                 endpoints=endpoints,
                 peers=peers,
-                peers_seen=peers,
+                advertised_peers=peers,
                 folder=folder / name,
                 records_voter=len(hosts) < RECORDS_VOTERS,
             )
             hosts.append(host)
-    return SystemPlan(folder, tuple(hosts), extra)
+    return SystemPlan(folder, tuple(hosts), extra_settings)
 
 
 def settings_text(plan: SystemPlan, host: HostPlan) -> str:
-    """Return the settings file of one daemon."""
+    """Return the text of the settings file of one daemon."""
     parts = [
-        _table("[host]", name=host.name, zone=host.zone, data_folder=str(host.data_folder)),
-        _table(
+        _toml_table("[host]", name=host.name, zone=host.zone, data_folder=str(host.data_folder)),
+        _toml_table(
             "[listen]",
             callers=host.callers,
             operators=host.operators,
@@ -122,24 +124,24 @@
         ),
     ]
     for peer in plan.hosts:
-        seen = peer.peers if peer is host else peer.peers_seen
+        address = peer.peers if peer is host else peer.advertised_peers
         parts.append(
-            _table(
+            _toml_table(
                 "[[peers]]",
                 name=peer.name,
                 zone=peer.zone,
-                peers=seen,
+                peers=address,
                 callers=peer.callers,
                 operators=peer.operators,
                 disk=True,
                 records_voter=peer.records_voter,
             )
         )
-    return "\n".join([*parts, plan.extra])
+    return "\n".join([*parts, plan.extra_settings])
 
 
 def check_ports(plan: SystemPlan) -> None:
-    """Raise PlanError if another process listens on a port of the plan."""
+    """Raise PlanError if a port of the plan is in use."""
     for host in plan.hosts:
         for address in (host.callers, host.operators, host.endpoints, host.peers):
             if not _is_free(address):
@@ -149,8 +151,8 @@
                 )
 
 
-def claim_folder(folder: Path) -> None:
-    """Create the folder of a run; raise PlanError if an earlier run left it behind."""
+def create_run_folder(folder: Path) -> None:
+    """Create the folder of a run; raise PlanError if it is left from an earlier run."""
     if folder.exists():
         alive = [pid for pid in _pids(folder) if _is_agateferryd(pid)]
         advice = f"end its daemons first (kill {' '.join(map(str, alive))}), " if alive else ""
@@ -161,24 +163,24 @@
     folder.mkdir(parents=True)
 
 
-def note_pid(folder: Path, pid: int) -> None:
-    """Remember a daemon's process id, for the run after this one."""
+def record_pid(folder: Path, pid: int) -> None:
+    """Append a daemon's process id to the file that `create_run_folder` reads in a later run."""
     with (folder / PIDS_FILE).open("a") as file:
         file.write(f"{pid}\n")
 
 
 def free_ports(count: int) -> list[int]:
-    """Return different ports that were free a moment ago.
+    """Return `count` different ports that were free when tried.
 
-    They lie below the range from which the operating system takes the ports of outgoing
-    connections, so that a daemon finds its port free again after a restart.
+    They are below the range from which the operating system takes the ports of outgoing
+    connections, so that a daemon's port is still free when the daemon restarts.
     """
     socks: list[socket.socket] = []
     try:
         while len(socks) < count:
             sock = socket.socket()
             try:
-                sock.bind((HOST, PICK.randrange(*FREE_PORTS)))
+                sock.bind((LOOPBACK_IP, PORT_RANDOM.randrange(*PORT_RANGE)))
                 socks.append(sock)
             except OSError:
                 sock.close()
@@ -188,8 +190,8 @@
             sock.close()
 
 
-def _table(head: str, **values: str | bool) -> str:
-    lines = [head, *(f"{key} = {json.dumps(value)}" for key, value in values.items())]
+def _toml_table(header: str, **values: str | bool) -> str:
+    lines = [header, *(f"{key} = {json.dumps(value)}" for key, value in values.items())]
     return "\n".join(lines) + "\n"
 
 
@@ -210,7 +212,7 @@
 
 
 def _is_agateferryd(pid: int) -> bool:
-    """Tell whether a process id still belongs to a daemon."""
+    """Tell whether a process id belongs to a running daemon, and not to a later process."""
     try:
         return b"agateferry_service" in Path(f"/proc/{pid}/cmdline").read_bytes()
     except OSError:
--- a/packages/agateferry-standins/agateferry_standins/deployment/samples.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/samples.py
@@ -1,4 +1,4 @@
-"""The sample work of the two deployments: zones, teams, jobs and mixes of requests."""
+"""The sample load of the two deployments: zones, teams, jobs and mixes of requests."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,8 +10,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoredRecord:
-    """An operator's record to put before any request is sent."""
+class OperatorRecord:
+    """A record that an operator stores, here before any request is sent."""
 
     kind: str
     name: str
@@ -20,24 +20,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """One user's zones, records and mix of requests."""
+    """The zones, records and mix of requests of one user of agateferry."""
 
     name: str
     zones: tuple[str, str, str]
-    records: tuple[StoredRecord, ...]
+    records: tuple[OperatorRecord, ...]
     kinds: tuple[JobKind, ...]
 
 
-def _team(name: str, zones: tuple[str, ...], accelerators: int) -> StoredRecord:
-    """Return a team with one whole group of accelerators in each zone, or with none."""
+def _team_record(name: str, zones: tuple[str, ...], accelerators: int) -> OperatorRecord:
+    """Return a team that is guaranteed so many accelerators of one worker in each zone."""
     shape = {"accelerators": accelerators, "adjacency": "worker", "count": 1}
     shapes = [shape] if accelerators else []
     guarantees = [{"zone": zone, "shapes": shapes} for zone in zones]
-    return StoredRecord("team", name, {"weight": 1.0, "guarantees": guarantees})
+    return OperatorRecord("team", name, {"weight": 1.0, "guarantees": guarantees})
 
 
-def _job(kind: JobKind, accelerators: int = 0, adjacency: str = "any") -> StoredRecord:
-    """Return the job of a kind; its declared run time is that of the kind."""
+def _job_record(kind: JobKind, accelerators: int = 0, adjacency: str = "any") -> OperatorRecord:
+    """Return the job record of a kind; its declared run time is the simulated one."""
     demand = {
         "members": kind.members,
         "accelerators": accelerators,
@@ -54,12 +54,12 @@
         "checkpointable": kind.urgency == "long",
         "max_attempts": 10 if kind.idempotent else 3,
     }
-    return StoredRecord("job", kind.job, content)
+    return OperatorRecord("job", kind.job, content)
 
 
-def _config(completion_time: float) -> StoredRecord:
+def _scheduling_record(completion_time: float) -> OperatorRecord:
     weights = {"completion_time": completion_time, "fragmentation": 1.0 - completion_time}
-    return StoredRecord("config", "scheduling", {"weights": weights})
+    return OperatorRecord("config", "scheduling", {"weights": weights})
 
 
 FORECAST = JobKind(
@@ -81,14 +81,14 @@
     "lagerteller",
     VESTLAND,
     (
-        _team("season-desk", VESTLAND, WORKER_ACCELERATORS),
-        _team("barn-keepers", VESTLAND, 0),
-        _team("load-desk", VESTLAND, 0),
-        _team("audit-desk", VESTLAND, 0),
-        _job(FORECAST, WORKER_ACCELERATORS, "rack"),
-        _job(BARN_COUNT),
-        _job(LOAD_RECONCILE),
-        _config(completion_time=0.25),
+        _team_record("season-desk", VESTLAND, WORKER_ACCELERATORS),
+        _team_record("barn-keepers", VESTLAND, 0),
+        _team_record("load-desk", VESTLAND, 0),
+        _team_record("audit-desk", VESTLAND, 0),
+        _job_record(FORECAST, WORKER_ACCELERATORS, "rack"),
+        _job_record(BARN_COUNT),
+        _job_record(LOAD_RECONCILE),
+        _scheduling_record(completion_time=0.25),
     ),
     (FORECAST, BARN_COUNT, LOAD_RECONCILE),
 )
@@ -115,15 +115,15 @@
     "pass-service",
     KARNALI,
     (
-        _team("avalanche-desk", KARNALI, WORKER_ACCELERATORS),
-        _team("snow-desk", KARNALI, WORKER_ACCELERATORS),
-        _team("bus-desk", KARNALI, 0),
-        _team("police-desk", KARNALI, 0),
-        _job(RISK_RUN, WORKER_ACCELERATORS, "rack"),
-        _job(MODEL_REFRESH, WORKER_ACCELERATORS, "worker"),
-        _job(CLEARANCE_CHECK),
-        _job(CLOSURE_NOTICE),
-        _config(completion_time=0.75),
+        _team_record("avalanche-desk", KARNALI, WORKER_ACCELERATORS),
+        _team_record("snow-desk", KARNALI, WORKER_ACCELERATORS),
+        _team_record("bus-desk", KARNALI, 0),
+        _team_record("police-desk", KARNALI, 0),
+        _job_record(RISK_RUN, WORKER_ACCELERATORS, "rack"),
+        _job_record(MODEL_REFRESH, WORKER_ACCELERATORS, "worker"),
+        _job_record(CLEARANCE_CHECK),
+        _job_record(CLOSURE_NOTICE),
+        _scheduling_record(completion_time=0.75),
     ),
     (RISK_RUN, MODEL_REFRESH, CLEARANCE_CHECK, CLOSURE_NOTICE),
 )
--- a/packages/agateferry-standins/agateferry_standins/deployment/system.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/system.py
@@ -1,4 +1,7 @@
-"""A whole system on loopback: daemons as processes, workers and balancer in this process."""
+"""A whole system on loopback, with each daemon as a process of its own.
+
+The workers and the balancer run in this process.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,21 +10,21 @@
 import aiohttp
 
 from agateferry_standins.balancer import Backend, Balancer
-from agateferry_standins.deployment.daemon import COMMAND, DaemonProcess
-from agateferry_standins.deployment.operators import POLL_S, Operator
+from agateferry_standins.deployment.daemon import DAEMON_COMMAND, DaemonProcess
+from agateferry_standins.deployment.operator_client import POLL_INTERVAL_S, OperatorClient
 from agateferry_standins.deployment.plan import HostPlan, SystemPlan
 from agateferry_standins.deployment.samples import Deployment
 from agateferry_standins.worker import StandInWorker, StartLog, WorkerConfig
 
-READY_S = 30.0
-STOP_S = 20.0
+READY_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 20.0
 WORKERS_PER_ZONE = 8
 
 Condition = Callable[[], Awaitable[bool]]
 
 
 class StartError(Exception):
-    """A system did not come up; the text says which part and shows its last log lines."""
+    """A daemon did not become ready; the message names it and has its last log lines."""
 
 
 class System:
@@ -37,31 +40,31 @@
         deployment: Deployment,
         log: StartLog,
         workers_per_zone: int = WORKERS_PER_ZONE,
-        command: tuple[str, ...] = COMMAND,
+        command: tuple[str, ...] = DAEMON_COMMAND,
     ) -> None:
         self.plan = plan
         self.deployment = deployment
         self.daemons = {host.name: DaemonProcess(host, command) for host in plan.hosts}
         self.workers = [
-            StandInWorker(_place(zone, number, plan.of_zone(zone)), log)
+            StandInWorker(_worker_config(zone, number, plan.hosts_in_zone(zone)), log)
             for zone in plan.zones()
             for number in range(workers_per_zone)
         ]
-        self.balancer = Balancer([Backend(h.callers, h.operators) for h in plan.hosts])
+        self.balancer = Balancer([Backend(host.callers, host.operators) for host in plan.hosts])
         self._revision = 0
         self._session: aiohttp.ClientSession | None = None
-        self._operator: Operator | None = None
+        self._operator: OperatorClient | None = None
 
     @property
-    def operator(self) -> Operator:
-        """Return an operator of this system."""
+    def operator(self) -> OperatorClient:
+        """Return the client of the operators' ports of this system."""
         assert self._operator is not None, "the system has not been started"
         return self._operator
 
     async def __aenter__(self) -> "System":
-        """Start everything and wait until callers can be served."""
+        """Start all parts, store the records and wait until callers can be served."""
         self._session = aiohttp.ClientSession()
-        self._operator = Operator(self._session, [host.operators for host in self.plan.hosts])
+        self._operator = OperatorClient(self._session, [host.operators for host in self.plan.hosts])
         try:
             await self._start()
         except BaseException:
@@ -72,16 +75,18 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, exc: BaseException | None, tb: TracebackType | None
     ) -> None:
-        """End everything that still runs."""
+        """Kill all parts that still run."""
         await self.kill()
 
     async def stop(self) -> dict[str, int | None]:
-        """Ask all daemons for a planned stop and return their exit codes."""
-        codes = await asyncio.gather(*(d.terminate(STOP_S) for d in self.daemons.values()))
+        """Stop all daemons gracefully and return their exit codes, None for a timeout."""
+        codes = await asyncio.gather(
+            *(daemon.terminate(STOP_TIMEOUT_S) for daemon in self.daemons.values())
+        )
         return dict(zip(self.daemons, codes, strict=True))
 
     async def kill(self) -> None:
-        """End daemons, workers and balancer at once."""
+        """Kill daemons, workers and balancer at once."""
         await asyncio.gather(*(daemon.kill() for daemon in self.daemons.values()))
         await self.balancer.stop()
         await asyncio.gather(*(worker.stop() for worker in self.workers))
@@ -89,41 +94,41 @@
             await self._session.close()
 
     async def wait_ready(self, names: list[str]) -> None:
-        """Wait until these hosts are ready for callers."""
+        """Wait until the hosts of these names are ready to serve callers."""
         await asyncio.gather(*(self._wait_ready(self.daemons[name]) for name in names))
 
     async def leader(self, zone: str) -> str:
         """Wait until every running host of a zone names the same leader; return its name."""
-        found: set[str] = set()
+        leaders: set[str] = set()
 
         async def agreed() -> bool:
-            found.clear()
-            for host in self.plan.of_zone(zone):
+            leaders.clear()
+            for host in self.plan.hosts_in_zone(zone):
                 if self.daemons[host.name].running:
                     _, body = await self.operator.call("GET", "/v1/cell", address=host.operators)
-                    found.add(str(body.get("leader") or ""))
-            return len(found) == 1 and "" not in found
+                    leaders.add(str(body.get("leader") or ""))
+            return len(leaders) == 1 and "" not in leaders
 
         await wait_for(agreed, f"a leader of {zone}")
-        return found.pop()
+        return leaders.pop()
 
     async def _start(self) -> None:
-        self.plan.write()
+        self.plan.write_settings()
         await asyncio.gather(*(daemon.start() for daemon in self.daemons.values()))
         await asyncio.gather(*(worker.start() for worker in self.workers))
         await self.wait_ready(list(self.daemons))
         for record in self.deployment.records:
-            stored = await asyncio.wait_for(self.operator.put(record), READY_S)
+            stored = await asyncio.wait_for(self.operator.put_record(record), READY_TIMEOUT_S)
             self._revision = max(self._revision, int(stored["revision"]))
         await wait_for(self._records_in_force, "the records to be in force on every host")
-        await wait_for(self._workers_seen, "all workers to be seen in every zone")
+        await wait_for(self._workers_registered, "all workers to be registered in every zone")
         await self.balancer.start()
 
     async def _wait_ready(self, daemon: DaemonProcess) -> None:
         async def ready() -> bool:
             if not daemon.running:
-                raise StartError(f"{daemon.plan.name} ended early:\n{daemon.log_tail()}")
-            return await self.operator.ready(daemon.plan.operators)
+                raise StartError(f"{daemon.plan.name} exited early:\n{daemon.log_tail()}")
+            return await self.operator.is_ready(daemon.plan.operators)
 
         try:
             await wait_for(ready, f"{daemon.plan.name} to be ready")
@@ -139,30 +144,30 @@
             and all((host["revision"] or 0) >= self._revision for host in hosts)
         )
 
-    async def _workers_seen(self) -> bool:
+    async def _workers_registered(self) -> bool:
         for zone in self.plan.zones():
-            address = self.plan.of_zone(zone)[0].operators
+            address = self.plan.hosts_in_zone(zone)[0].operators
             _, body = await self.operator.call("GET", "/v1/workers", address=address)
-            wanted = {worker.config.name for worker in self.workers if worker.config.zone == zone}
-            if {worker["name"] for worker in body.get("workers", [])} != wanted:
+            expected = {worker.config.name for worker in self.workers if worker.config.zone == zone}
+            if {worker["name"] for worker in body.get("workers", [])} != expected:
                 return False
         return True
 
 
-async def wait_for(holds: Condition, what: str, timeout_s: float = READY_S) -> None:
-    """Poll a condition until it holds; raise TimeoutError naming `what` after `timeout_s`."""
+async def wait_for(condition: Condition, what: str, timeout_s: float = READY_TIMEOUT_S) -> None:
+    """Poll a condition until it is true; raise TimeoutError with `what` after `timeout_s`."""
     try:
         async with asyncio.timeout(timeout_s):
             while True:
-                if await holds():
+                if await condition():
                     return
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
     except TimeoutError as exc:
-        raise TimeoutError(f"waited {timeout_s} s in vain for {what}") from exc
+        raise TimeoutError(f"timed out after {timeout_s} s waiting for {what}") from exc
 
 
-def _place(zone: str, number: int, hosts: list[HostPlan]) -> WorkerConfig:
-    """Return the place of a worker; each starts with another entry host of its zone."""
-    turn = number % len(hosts) if hosts else 0
-    entries = [host.endpoints for host in hosts[turn:] + hosts[:turn]]
+def _worker_config(zone: str, number: int, hosts: list[HostPlan]) -> WorkerConfig:
+    """Return a worker's configuration; the workers of a zone differ in their first entry host."""
+    offset = number % len(hosts) if hosts else 0
+    entries = [host.endpoints for host in hosts[offset:] + hosts[:offset]]
     return WorkerConfig(f"{zone}-w{number + 1}", zone, f"{zone}-r1", tuple(entries))
--- a/packages/agateferry-standins/agateferry_standins/deployment/tests/test_daemon.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/tests/test_daemon.py
@@ -25,7 +25,7 @@
         folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
         plan = make_plan(("z1",), folder / "run")
-        plan.write()
+        plan.write_settings()
         self.run_folder = plan.folder
 
         async def main():
@@ -42,7 +42,7 @@
     async def is_up(self, daemon):
         return "up" in daemon.log_tail()
 
-    def test_a_planned_stop_tells_the_exit_code(self):
+    def test_a_graceful_stop_returns_the_exit_code(self):
         async def test(daemon):
             self.assertTrue(daemon.running)
             self.assertEqual(0, await daemon.terminate(10))
@@ -59,9 +59,9 @@
 
         self.with_daemon(test)
 
-    def test_its_process_id_is_noted(self):
+    def test_its_process_id_is_recorded(self):
         async def test(daemon):
-            noted = (self.run_folder / PIDS_FILE).read_text().split()
-            self.assertEqual([str(daemon.pid)], noted)
+            recorded = (self.run_folder / PIDS_FILE).read_text().split()
+            self.assertEqual([str(daemon.pid)], recorded)
 
         self.with_daemon(test)
--- a/packages/agateferry-standins/agateferry_standins/deployment/tests/test_plan.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/tests/test_plan.py
@@ -9,10 +9,10 @@
 from agateferry_standins.deployment.plan import (
     PlanError,
     check_ports,
-    claim_folder,
+    create_run_folder,
     free_ports,
     make_plan,
-    note_pid,
+    record_pid,
 )
 from agateferry_standins.deployment.samples import LAGERTELLER, PASS_SERVICE
 
@@ -30,23 +30,23 @@
         self.plan = make_plan(LAGERTELLER.zones, self.folder / "run")
 
     def test_every_settings_file_is_valid(self):
-        self.plan.write()
+        self.plan.write_settings()
         for host in self.plan.hosts:
             settings = load_settings(host.settings_file).ok
             self.assertEqual(host.zone, settings.host.zone)
             self.assertEqual(3, len(settings.zone_peers()))
             self.assertEqual(5, len(settings.records_voters()))
 
-    def test_a_relay_stands_before_one_host_for_the_others_alone(self):
+    def test_only_the_other_hosts_get_the_advertised_peers_address(self):
         first, second = self.plan.hosts[:2]
-        plan = self.plan.with_peers_seen(first.name, "127.0.0.1:9")
-        plan.write()
+        plan = self.plan.with_advertised_peers(first.name, "127.0.0.1:9")
+        plan.write_settings()
         own = load_settings(first.settings_file).ok
         other = load_settings(second.settings_file).ok
         self.assertEqual(first.peers, str(own.own_peer().peers))
         self.assertEqual("127.0.0.1:9", str(other.peers[0].peers))
 
-    def test_a_taken_port_is_named(self):
+    def test_the_error_of_a_port_in_use_names_it(self):
         with socket.socket() as sock:
             host, _, port = self.plan.hosts[4].peers.rpartition(":")
             sock.bind((host, int(port)))
@@ -58,12 +58,12 @@
         self.assertEqual(40, len(set(free_ports(40))))
 
 
-class ClaimFolderTests(testtools.TestCase):
-    def test_a_folder_of_an_earlier_run_is_named(self):
+class RunFolderTests(testtools.TestCase):
+    def test_the_error_of_a_folder_of_an_earlier_run_names_it(self):
         folder = temporary_folder(self) / "run"
-        claim_folder(folder)
-        note_pid(folder, 1)
-        exc = self.assertRaises(PlanError, claim_folder, folder)
+        create_run_folder(folder)
+        record_pid(folder, 1)
+        exc = self.assertRaises(PlanError, create_run_folder, folder)
         self.assertIn(str(folder), str(exc))
         self.assertNotIn("kill", str(exc))
 
--- a/packages/agateferry-standins/agateferry_standins/in_force.py
+++ b/packages/agateferry-standins/agateferry_standins/in_force.py
@@ -61,7 +61,7 @@
         Return, in ms, how long the put took to be accepted, how long after that it was in force in
         the other zones, and how long after the waking it was in force everywhere.
         """
-        frozen = self._system.plan.of_zone(zone)
+        frozen = self._system.plan.hosts_in_zone(zone)
         others = [host for host in self._system.plan.hosts if host.zone != zone]
         self._signal(frozen, signal.SIGSTOP)
         await asyncio.sleep(FROZEN_S)
--- a/packages/agateferry-standins/agateferry_standins/tests/test_cuts.py
+++ b/packages/agateferry-standins/agateferry_standins/tests/test_cuts.py
@@ -12,7 +12,7 @@
             self.relays = {host.name: Relay(host.peers) for host in self.plan.hosts}
             for name, relay in self.relays.items():
                 await relay.start()
-                self.plan = self.plan.with_peers_seen(name, relay.address)
+                self.plan = self.plan.with_advertised_peers(name, relay.address)
             async with System(self.plan, LAGERTELLER, self.starts) as self.system:
                 await test()
             for relay in self.relays.values():
--- a/packages/agateferry-standins/agateferry_standins/tests/test_operations.py
+++ b/packages/agateferry-standins/agateferry_standins/tests/test_operations.py
@@ -1,7 +1,7 @@
 import asyncio
 
-from agateferry_standins.deployment import StoredRecord
-from agateferry_standins.deployment.system import STOP_S
+from agateferry_standins.deployment import OperatorRecord
+from agateferry_standins.deployment.system import STOP_TIMEOUT_S
 from agateferry_standins.tests.support import MIX, ONCE, URGENT, SystemTestCase
 
 LEAVING_S = 3.0
@@ -13,7 +13,9 @@
             sending = self.send(MIX, 400, 20.0)
             await self.until_accepted(10)
             for name, daemon in self.system.daemons.items():
-                self.assertEqual(0, await daemon.terminate(STOP_S), f"{name}: {daemon.log_tail()}")
+                self.assertEqual(
+                    0, await daemon.terminate(STOP_TIMEOUT_S), f"{name}: {daemon.log_tail()}"
+                )
                 await daemon.start()
                 await self.system.wait_ready([name])
             await sending
@@ -80,8 +82,8 @@
 class RecordTests(SystemTestCase):
     def test_a_record_is_in_force_on_every_host_within_seconds(self):
         async def test():
-            record = StoredRecord("team", "harvest-desk", {"weight": 1.0})
-            stored = await self.system.operator.put(record)
+            record = OperatorRecord("team", "harvest-desk", {"weight": 1.0})
+            stored = await self.system.operator.put_record(record)
 
             for host in self.plan.hosts:
                 async with asyncio.timeout(5):
