--- a/packages/agateferry-standins/agateferry_standins/callers/__init__.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in callers that retry honestly and check every answer."""
+"""Stand-in callers that retry as the API requires and check every answer."""
 
 from agateferry_standins.callers.caller import Caller
 from agateferry_standins.callers.load import Load, run_load
--- a/packages/agateferry-standins/agateferry_standins/callers/load.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/load.py
@@ -1,4 +1,4 @@
-"""A seeded mix of requests at a given rate."""
+"""A mix of requests, drawn from a seed and sent at a given rate."""
 
 import asyncio
 import random
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """How many requests of which kinds, at how many a second.
+    """The number, kinds and rate of the requests of a load.
 
-    `name` makes the keys of this load differ from those of every other load of a run.
+    `name` is the prefix of the requests' keys and has to differ between the loads of a run.
     """
 
     name: str
@@ -23,10 +23,10 @@
     count: int
     rate_per_s: float
     seed: int = 1
-    patience_s: float = 60.0
+    request_timeout_s: float = 60.0
 
     def records(self) -> list[RequestRecord]:
-        """Return the requests of this load, the same ones for the same seed."""
+        """Draw the requests of this load; the same seed gives the same requests."""
         rng = random.Random(self.seed)
         weights = [kind.weight for kind in self.kinds]
         records = []
@@ -38,16 +38,16 @@
 
 
 async def run_load(load: Load, entries: list[str], tally: Tally) -> None:
-    """Send a load at its rate, whatever the answers take, and wait for every end."""
+    """Send the requests at the load's rate without waiting for replies, then wait for all ends."""
     rng = random.Random(load.seed)
     loop = asyncio.get_running_loop()
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
-        caller = Caller(session, entries, tally, rng, load.patience_s)
-        start = loop.time()
+        caller = Caller(session, entries, tally, rng, load.request_timeout_s)
+        start_s = loop.time()
         tasks = []
         for number, record in enumerate(load.records()):
-            delay_s = start + number / load.rate_per_s - loop.time()
+            delay_s = start_s + number / load.rate_per_s - loop.time()
             if delay_s > 0:
                 await asyncio.sleep(delay_s)
             tasks.append(asyncio.create_task(caller.run(record)))
--- a/packages/agateferry-standins/agateferry_standins/callers/messages.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/messages.py
@@ -1,4 +1,4 @@
-"""What a stand-in caller asks for and what it has seen of it."""
+"""The requests of a stand-in caller and their outcomes."""
 
 import json
 from dataclasses import dataclass, field
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobKind:
-    """One kind of work in a mix.
+    """A kind of request in a mix: its job, team and simulated work.
 
-    `weight` is its share of the mix, `cancel_share` the share of its requests that the caller
-    cancels, `resend_share` the share that it sends a second time after the answer.
+    `weight` is its weight in the mix. The caller cancels `cancel_share` of its requests and submits
+    `resend_share` of them again after the answer, both 0 to 1. `run_ms` is the run time of a task.
     """
 
     job: str
@@ -25,8 +25,8 @@
     resend_share: float = 0.0
 
 
-class End(StrEnum):
-    """Say how a request ended for its caller."""
+class RequestOutcome(StrEnum):
+    """How a request ended for its caller; `LOST` is without a final answer."""
 
     FINISHED = "finished"
     CANCELLED = "cancelled"
@@ -42,7 +42,7 @@
 class RequestRecord:
     """One request as its caller knows it.
 
-    `accepted` is set once any answer showed that the request is stored.
+    `accepted` is set once a reply shows that the request is stored; `echo` is the expected answer.
     """
 
     key: str
@@ -51,11 +51,11 @@
     accepted: bool = False
     request_id: str = ""
     answer: dict[str, Any] = field(default_factory=dict)
-    end: End | None = None
+    outcome: RequestOutcome | None = None
     detail: str = ""
 
     def body(self) -> dict[str, Any]:
-        """Return the body to submit."""
+        """Return the JSON body to submit."""
         payload = {"run_ms": self.kind.run_ms, "echo": self.echo, "key": self.key}
         return {
             "schema": "v1",
--- a/packages/agateferry-standins/agateferry_standins/callers/tally.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/tally.py
@@ -1,75 +1,81 @@
-"""Counts over all requests of a run, made by callers and workers and not by the system."""
+"""The results of a run, counted by the callers and workers independently of the system."""
 
 from collections import Counter
 from dataclasses import dataclass, field
 
 from hdrh.histogram import HdrHistogram
 
-from agateferry_standins.callers.messages import End, RequestRecord
+from agateferry_standins.callers.messages import RequestOutcome, RequestRecord
 from agateferry_standins.worker import StartLog
 
-LOWEST_US = 1
-HIGHEST_US = 600_000_000
-DIGITS = 3
-RAN_ENDS = frozenset({End.FINISHED})
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 600_000_000
+SIGNIFICANT_DIGITS = 3
+RUN_OUTCOMES = frozenset({RequestOutcome.FINISHED})
 
 
 @dataclass(slots=True)
 class Tally:
-    """What the callers saw, and the histogram of completion times by urgency in microseconds."""
+    """What the callers saw in a run.
+
+    `refused` and `retried` count replies by reason; `mismatches` describes wrong answers;
+    `latency_us` has a histogram of completion times in microseconds for each urgency.
+    """
 
     records: list[RequestRecord] = field(default_factory=list)
     refused: Counter[str] = field(default_factory=Counter)
     retried: Counter[str] = field(default_factory=Counter)
-    wrong: list[str] = field(default_factory=list)
+    mismatches: list[str] = field(default_factory=list)
     latency_us: dict[str, HdrHistogram] = field(default_factory=dict)
 
-    def timed(self, urgency: str, took_us: int) -> None:
-        """Add the time from the first submission to the whole answer."""
+    def record_latency(self, urgency: str, value_us: int) -> None:
+        """Record the time from the first submission of a request to its answer."""
         histogram = self.latency_us.get(urgency)
         if histogram is None:
-            histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+            histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
             self.latency_us[urgency] = histogram
-        histogram.record_value(max(LOWEST_US, took_us))
+        histogram.record_value(max(MIN_LATENCY_US, value_us))
 
-    def accepted(self) -> int:
-        """Return how many requests the system said that it had stored."""
+    def accepted_count(self) -> int:
+        """Return the number of requests of which a reply showed that they are stored."""
         return sum(1 for record in self.records if record.accepted)
 
-    def answered(self) -> int:
-        """Return how many accepted requests got their final answer."""
-        return sum(1 for r in self.records if r.accepted and r.end not in (None, End.LOST))
+    def answered_count(self) -> int:
+        """Return the number of accepted requests that got a final answer."""
+        return sum(
+            1 for r in self.records if r.accepted and r.outcome not in (None, RequestOutcome.LOST)
+        )
 
-    def lost(self) -> list[RequestRecord]:
-        """Return the requests that are accepted, or may be, and have no final answer."""
-        return [record for record in self.records if record.end in (None, End.LOST)]
+    def lost_requests(self) -> list[RequestRecord]:
+        """Return the requests without a final answer, whether known to be accepted or not."""
+        return [record for record in self.records if record.outcome in (None, RequestOutcome.LOST)]
 
-    def ends(self) -> Counter[str]:
-        """Return how many requests came to which end."""
-        return Counter(str(record.end) for record in self.records)
+    def outcome_counts(self) -> Counter[str]:
+        """Return the number of requests by outcome."""
+        return Counter(str(record.outcome) for record in self.records)
 
-    def check_runs(self, log: StartLog) -> list[str]:
-        """Compare what the system said about runs with what the workers saw.
+    def find_run_mismatches(self, log: StartLog) -> list[str]:
+        """Compare the runs that the system reported with those that the workers logged.
 
-        A refusal or a cancellation that says `not-run` must have no start, and a finished request
-        must have one for each member.
+        An answer with `not-run` must have no start, and a finished request must have at least one
+        for each member. Return a description of each difference.
         """
         starts: Counter[str] = Counter()
         for (_, key, _), _count in log.starts.items():
             starts[key] += 1
-        wrong = []
+        mismatches = []
         for record in self.records:
-            seen = starts[record.key]
-            if record.answer.get("run") == "not-run" and seen:
-                wrong.append(f"{record.key} was told not-run and started on {seen} workers")
-            if record.end in RAN_ENDS and seen < record.kind.members:
-                wrong.append(f"{record.key} finished with {seen} members started")
-        return wrong
+            started = starts[record.key]
+            if record.answer.get("run") == "not-run" and started:
+                mismatches.append(f"{record.key} was told not-run and started on {started} workers")
+            if record.outcome in RUN_OUTCOMES and started < record.kind.members:
+                mismatches.append(f"{record.key} finished with {started} members started")
+        return mismatches
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """The closing counts of a run."""
+class RunSummary:
+    """The counts of a run that its last line of output shows."""
 
     accepted: int
     answered: int
@@ -79,21 +85,21 @@
     partial_gangs: int
 
     @staticmethod
-    def of(tally: Tally, log: StartLog) -> "Verdict":
-        """Count a run; only jobs that are not idempotent can be duplicated."""
-        once = frozenset(r.kind.job for r in tally.records if not r.kind.idempotent)
-        return Verdict(
-            accepted=tally.accepted(),
-            answered=tally.answered(),
-            lost=len(tally.lost()),
-            duplicated=len(log.duplicated_tasks(once)),
-            wrong=len(tally.wrong) + len(tally.check_runs(log)),
+    def from_tally(tally: Tally, log: StartLog) -> "RunSummary":
+        """Count a run; only tasks of jobs that are not idempotent count as duplicated."""
+        run_once_jobs = frozenset(r.kind.job for r in tally.records if not r.kind.idempotent)
+        return RunSummary(
+            accepted=tally.accepted_count(),
+            answered=tally.answered_count(),
+            lost=len(tally.lost_requests()),
+            duplicated=len(log.duplicated_tasks(run_once_jobs)),
+            wrong=len(tally.mismatches) + len(tally.find_run_mismatches(log)),
             partial_gangs=len(log.partial_gangs()),
         )
 
-    def __add__(self, other: "Verdict") -> "Verdict":
-        """Return the counts of two runs together."""
-        return Verdict(
+    def __add__(self, other: "RunSummary") -> "RunSummary":
+        """Return the sum of the counts of two runs."""
+        return RunSummary(
             self.accepted + other.accepted,
             self.answered + other.answered,
             self.lost + other.lost,
@@ -103,7 +109,7 @@
         )
 
     @property
-    def clean(self) -> bool:
-        """Tell whether everything that was accepted got its own answer, once."""
-        bad = self.lost + self.duplicated + self.wrong + self.partial_gangs
-        return self.accepted == self.answered and bad == 0
+    def is_clean(self) -> bool:
+        """Tell whether every accepted request got its own answer and nothing ran twice or in part."""
+        error_count = self.lost + self.duplicated + self.wrong + self.partial_gangs
+        return self.accepted == self.answered and error_count == 0
--- a/packages/agateferry-standins/agateferry_standins/callers/tests/test_caller.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/tests/test_caller.py
@@ -7,15 +7,15 @@
 from agateferry_core.support import run_async
 from agateferry_standins.callers import caller
 from agateferry_standins.callers.load import Load, run_load
-from agateferry_standins.callers.messages import End, JobKind
-from agateferry_standins.callers.tally import Tally, Verdict
+from agateferry_standins.callers.messages import JobKind, RequestOutcome
+from agateferry_standins.callers.tally import RunSummary, Tally
 from agateferry_standins.worker import LeaseRequest, StartLog
 
-ONCE = JobKind("load-reconcile", "depot", idempotent=False, run_ms=1)
+RUN_ONCE = JobKind("load-reconcile", "depot", idempotent=False, run_ms=1)
 
 
 class FakeSystem:
-    """Keep requests in memory and show one fault for each call that the test lists."""
+    """Keep requests in memory and apply the next of the listed faults to each submission."""
 
     def __init__(self, log):
         self.log = log
@@ -88,12 +88,12 @@
 class CallerTests(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.patch(caller, "RETRY_MIN_S", 0.001)
+        self.patch(caller, "MIN_RETRY_DELAY_S", 0.001)
         self.log = StartLog()
         self.system = FakeSystem(self.log)
         self.tally = Tally()
 
-    def run_one(self, kind=ONCE, faults=(), **load):
+    def run_one(self, kind=RUN_ONCE, faults=(), **load):
         self.system.faults = list(faults)
 
         async def main():
@@ -104,65 +104,65 @@
         run_async(main(), 20)
         return self.tally.records[0]
 
-    def verdict(self):
-        return Verdict.of(self.tally, self.log)
+    def summary(self):
+        return RunSummary.from_tally(self.tally, self.log)
 
     def test_an_answer_is_counted_and_timed(self):
-        self.assertEqual(End.FINISHED, self.run_one().end)
-        self.assertEqual(Verdict(1, 1, 0, 0, 0, 0), self.verdict())
+        self.assertEqual(RequestOutcome.FINISHED, self.run_one().outcome)
+        self.assertEqual(RunSummary(1, 1, 0, 0, 0, 0), self.summary())
         self.assertEqual(1, self.tally.latency_us["normal"].get_total_count())
 
-    def test_a_lost_connection_and_503_are_tried_again_with_the_same_key(self):
-        self.assertEqual(End.FINISHED, self.run_one(faults=["503", "lost"]).end)
+    def test_a_lost_connection_and_503_are_retried_with_the_same_key(self):
+        self.assertEqual(RequestOutcome.FINISHED, self.run_one(faults=["503", "lost"]).outcome)
         self.assertEqual(1, len(set(self.system.calls)))
         self.assertEqual({"no-leader": 1, "connection-lost": 1}, dict(self.tally.retried))
-        self.assertTrue(self.verdict().clean)
+        self.assertTrue(self.summary().is_clean)
 
-    def test_202_is_followed(self):
-        self.assertEqual(End.FINISHED, self.run_one(faults=["202"]).end)
+    def test_a_request_accepted_with_202_is_polled(self):
+        self.assertEqual(RequestOutcome.FINISHED, self.run_one(faults=["202"]).outcome)
         self.assertEqual(("GET", "z.0"), self.system.calls[-1])
 
     def test_a_refusal_is_counted_by_its_reason_and_not_as_accepted(self):
-        self.assertEqual(End.REFUSED, self.run_one(faults=["429"]).end)
+        self.assertEqual(RequestOutcome.REFUSED, self.run_one(faults=["429"]).outcome)
         self.assertEqual({"queue-full": 1}, dict(self.tally.refused))
-        self.assertEqual(Verdict(0, 0, 0, 0, 0, 0), self.verdict())
+        self.assertEqual(RunSummary(0, 0, 0, 0, 0, 0), self.summary())
 
-    def test_another_callers_answer_is_wrong(self):
+    def test_the_answer_of_another_request_is_wrong(self):
         self.run_one(faults=["wrong"])
-        self.assertFalse(self.verdict().clean)
-        self.assertEqual(1, self.verdict().wrong)
+        self.assertFalse(self.summary().is_clean)
+        self.assertEqual(1, self.summary().wrong)
 
-    def test_an_accepted_request_that_is_forgotten_is_lost(self):
+    def test_an_accepted_request_that_becomes_unknown_is_lost(self):
         self.system._accept = lambda key, body: self.system.ids.update({key: "z.0"})
         self.system.requests["z.0"] = {"id": "z.0"}
 
-        async def forget(req):
+        async def reply_unknown(req):
             return self.system._problem(404, "unknown-request")
 
-        self.system._get = forget
-        self.assertEqual(End.LOST, self.run_one(faults=["202"]).end)
-        self.assertEqual((1, 0, 1), (self.verdict().accepted, 0, self.verdict().lost))
+        self.system._get = reply_unknown
+        self.assertEqual(RequestOutcome.LOST, self.run_one(faults=["202"]).outcome)
+        self.assertEqual((1, 0, 1), (self.summary().accepted, 0, self.summary().lost))
 
-    def test_a_cancellation_is_an_answer(self):
+    def test_a_cancelled_request_is_answered(self):
         kind = JobKind("forecast", "season", cancel_share=1.0, run_ms=1)
-        self.assertEqual(End.CANCELLED, self.run_one(kind, faults=["202"]).end)
-        self.assertTrue(self.verdict().clean)
+        self.assertEqual(RequestOutcome.CANCELLED, self.run_one(kind, faults=["202"]).outcome)
+        self.assertTrue(self.summary().is_clean)
 
-    def test_a_resend_that_runs_again_is_duplicated(self):
+    def test_a_second_start_after_a_resend_is_duplicated(self):
         kind = JobKind("load-reconcile", "depot", idempotent=False, resend_share=1.0)
         self.run_one(kind)
-        self.assertTrue(self.verdict().clean)
+        self.assertTrue(self.summary().is_clean)
         self.log.record_start(LeaseRequest("M", "y.0", 1, 0, job="load-reconcile"), "t-1-0")
-        self.assertEqual(1, self.verdict().duplicated)
+        self.assertEqual(1, self.summary().duplicated)
 
-    def test_not_run_with_a_start_at_a_worker_is_wrong(self):
+    def test_a_not_run_answer_with_a_start_at_a_worker_is_wrong(self):
         record = self.run_one(faults=["429"])
         self.log.record_start(LeaseRequest("L", "z.0", 1, 0, job="load-reconcile"), record.key)
-        self.assertEqual(1, self.verdict().wrong)
+        self.assertEqual(1, self.summary().wrong)
 
 
 class LoadTests(testtools.TestCase):
     def test_the_same_seed_gives_the_same_requests(self):
-        load = Load("t", (ONCE, JobKind("barn-count", "keepers")), 20, 100, seed=7)
+        load = Load("t", (RUN_ONCE, JobKind("barn-count", "keepers")), 20, 100, seed=7)
         self.assertEqual(load.records(), load.records())
         self.assertEqual(20, len({record.key for record in load.records()}))
--- a/packages/agateferry-standins/agateferry_standins/callers/tests/test_check.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/tests/test_check.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from agateferry_standins.callers.check import wrong_parts
+from agateferry_standins.callers.check import find_mismatches
 from agateferry_standins.callers.messages import JobKind, RequestRecord
 
 SINGLE = JobKind("barn-count", "keepers")
@@ -19,24 +19,24 @@
     return RequestRecord("k", kind, "e", request_id="z.1")
 
 
-class WrongPartsTests(testtools.TestCase):
-    def test_its_own_whole_answer_is_right(self):
-        self.assertEqual([], wrong_parts(record(), answer("e")))
+class FindMismatchesTests(testtools.TestCase):
+    def test_the_answer_of_the_request_has_no_mismatch(self):
+        self.assertEqual([], find_mismatches(record(), answer("e")))
 
-    def test_another_callers_answer_is_found(self):
-        self.assertEqual(1, len(wrong_parts(record(), answer("f"))))
-        self.assertEqual(1, len(wrong_parts(record(), answer("e", id="z.2"))))
-        self.assertEqual(1, len(wrong_parts(record(), answer("e", team="other"))))
+    def test_the_answer_of_another_request_is_detected(self):
+        self.assertEqual(1, len(find_mismatches(record(), answer("f"))))
+        self.assertEqual(1, len(find_mismatches(record(), answer("e", id="z.2"))))
+        self.assertEqual(1, len(find_mismatches(record(), answer("e", team="other"))))
 
-    def test_a_cut_answer_is_found(self):
-        self.assertEqual(1, len(wrong_parts(record(), answer("e", digest="00"))))
+    def test_a_wrong_digest_is_detected(self):
+        self.assertEqual(1, len(find_mismatches(record(), answer("e", digest="00"))))
 
-    def test_a_gang_without_a_member_is_found(self):
-        right = answer('["e", "e"]', job="forecast", team="season")
-        self.assertEqual([], wrong_parts(record(GANG), right))
-        short = answer('["e"]', job="forecast", team="season")
-        self.assertEqual(1, len(wrong_parts(record(GANG), short)))
+    def test_the_missing_answer_of_a_member_is_detected(self):
+        complete = answer('["e", "e"]', job="forecast", team="season")
+        self.assertEqual([], find_mismatches(record(GANG), complete))
+        incomplete = answer('["e"]', job="forecast", team="season")
+        self.assertEqual(1, len(find_mismatches(record(GANG), incomplete)))
 
-    def test_an_end_without_answer_is_right(self):
+    def test_a_cancelled_request_needs_no_answer(self):
         cancelled = answer("", state="cancelled", answer=None, digest=None)
-        self.assertEqual([], wrong_parts(record(), cancelled))
+        self.assertEqual([], find_mismatches(record(), cancelled))
--- a/packages/agateferry-standins/agateferry_standins/demo.py
+++ b/packages/agateferry-standins/agateferry_standins/demo.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from agateferry_standins.callers import Load, Tally, run_load
-from agateferry_standins.callers.tally import Verdict
+from agateferry_standins.callers.tally import RunSummary
 from agateferry_standins.deployment import (
     LAGERTELLER,
     PASS_SERVICE,
@@ -35,7 +35,7 @@
 EXIT_NOT_STARTED = 2
 
 
-async def run_deployment(deployment: Deployment, folder: Path, base_port: int) -> Verdict:
+async def run_deployment(deployment: Deployment, folder: Path, base_port: int) -> RunSummary:
     """Run one deployment's sample work, with one kill of an entry host in the middle."""
     plan = make_plan(deployment.zones, folder / deployment.name, base_port)
     check_ports(plan)
@@ -54,12 +54,12 @@
         codes = await system.stop()
     tell_run(deployment.name, tally, log)
     say(f"{deployment.name}: exit codes {sorted({str(code) for code in codes.values()})}")
-    return Verdict.of(tally, log)
+    return RunSummary.from_tally(tally, log)
 
 
-async def run(folder: Path, base_port: int) -> Verdict:
+async def run(folder: Path, base_port: int) -> RunSummary:
     """Run the deployments one after the other and add up their counts."""
-    total = Verdict(0, 0, 0, 0, 0, 0)
+    total = RunSummary(0, 0, 0, 0, 0, 0)
     for deployment in (LAGERTELLER, PASS_SERVICE):
         total += await run_deployment(deployment, folder, base_port)
     return total
@@ -78,22 +78,22 @@
     except PlanError as exc:
         say(f"demo: {exc}")
         return EXIT_NOT_STARTED
-    verdict = None
+    summary = None
     try:
-        verdict = asyncio.run(run(args.folder, args.base_port))
+        summary = asyncio.run(run(args.folder, args.base_port))
     except (PlanError, StartError, TimeoutError) as exc:
         say(f"demo: {exc}")
         return EXIT_NOT_STARTED
     finally:
-        if verdict is None or verdict.clean:
+        if summary is None or summary.is_clean:
             shutil.rmtree(args.folder)
-    if not verdict.clean:
-        say(f"demo: a promise was broken: {verdict}; the logs are in {args.folder}")
+    if not summary.is_clean:
+        say(f"demo: a promise was broken: {summary}; the logs are in {args.folder}")
     print(
-        f"demo: accepted={verdict.accepted} answered={verdict.answered} "
-        f"lost={verdict.lost} duplicated={verdict.duplicated}"
+        f"demo: accepted={summary.accepted} answered={summary.answered} "
+        f"lost={summary.lost} duplicated={summary.duplicated}"
     )
-    return 0 if verdict.clean else EXIT_BROKEN_PROMISE
+    return 0 if summary.is_clean else EXIT_BROKEN_PROMISE
 
 
 if __name__ == "__main__":
--- a/packages/agateferry-standins/agateferry_standins/latency.py
+++ b/packages/agateferry-standins/agateferry_standins/latency.py
@@ -16,7 +16,7 @@
 from hdrh.histogram import HdrHistogram
 
 from agateferry_standins.callers import JobKind, Load, Tally, run_load
-from agateferry_standins.callers.tally import DIGITS, HIGHEST_US, LOWEST_US
+from agateferry_standins.callers.tally import MAX_LATENCY_US, MIN_LATENCY_US, SIGNIFICANT_DIGITS
 from agateferry_standins.deployment import LAGERTELLER, PlanError, StartError, System, make_plan
 from agateferry_standins.report import US_PER_MS, quiet_logs, say, tell_run
 from agateferry_standins.worker import StandInWorker, StartLog
@@ -76,7 +76,7 @@
 async def run(folder: Path) -> tuple[HdrHistogram, HdrHistogram]:
     """Measure both ways at the same time; return the system's and the direct histogram."""
     log = StartLog()
-    direct = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    direct = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     plan = make_plan(LAGERTELLER.zones[:1], folder)
     entries = [host.callers for host in plan.hosts]
     async with System(plan, LAGERTELLER, log) as system:
--- a/packages/agateferry-standins/agateferry_standins/report.py
+++ b/packages/agateferry-standins/agateferry_standins/report.py
@@ -23,14 +23,16 @@
 
 def tell_run(name: str, tally: Tally, log: StartLog) -> None:
     """Write the ends, refusals, retries and completion times of a run, and what went wrong."""
-    say(f"{name}: ends {dict(tally.ends())}")
+    say(f"{name}: ends {dict(tally.outcome_counts())}")
     say(f"{name}: refused {dict(tally.refused)}, retried {dict(tally.retried)}")
     say(f"{name}: seen by workers {dict(log.violations)}")
     for urgency, histogram in sorted(tally.latency_us.items()):
         times = [histogram.get_value_at_percentile(p) / US_PER_MS for p in PERCENTILES]
         say(f"{name}: {urgency} median {times[0]} ms, 95% {times[1]} ms, 99% {times[2]} ms")
-    troubles = [f"lost: {r.key} {r.kind.job} {r.request_id} {r.detail}" for r in tally.lost()]
-    troubles += [f"wrong: {what}" for what in [*tally.wrong, *tally.check_runs(log)]]
+    troubles = [
+        f"lost: {r.key} {r.kind.job} {r.request_id} {r.detail}" for r in tally.lost_requests()
+    ]
+    troubles += [f"wrong: {what}" for what in [*tally.mismatches, *tally.find_run_mismatches(log)]]
     once = frozenset(r.kind.job for r in tally.records if not r.kind.idempotent)
     troubles += [f"duplicated: {task}" for task in log.duplicated_tasks(once)]
     troubles += [f"partial gang: {attempt}" for attempt in log.partial_gangs()]
--- a/packages/agateferry-standins/agateferry_standins/soak.py
+++ b/packages/agateferry-standins/agateferry_standins/soak.py
@@ -13,14 +13,14 @@
 from pathlib import Path
 
 from agateferry_standins.callers import Load, Tally, run_load
-from agateferry_standins.callers.tally import Verdict
+from agateferry_standins.callers.tally import RunSummary
 from agateferry_standins.deployment import LAGERTELLER, PlanError, StartError, System, make_plan
 from agateferry_standins.report import quiet_logs, say, tell_run
 from agateferry_standins.worker import StartLog
 
 DEFAULT_S = 60
 SETUP_S = 15
-PATIENCE_S = 30.0
+REQUEST_TIMEOUT_S = 30.0
 MIN_LOAD_S = 5
 RATE_PER_S = 60.0
 KILL_PAUSE_S = (2.0, 5.0)
@@ -47,7 +47,9 @@
     log = StartLog()
     tally = Tally()
     load_s = max(MIN_LOAD_S, total_s - SETUP_S)
-    load = Load("soak", LAGERTELLER.kinds, int(load_s * RATE_PER_S), RATE_PER_S, seed, PATIENCE_S)
+    load = Load(
+        "soak", LAGERTELLER.kinds, int(load_s * RATE_PER_S), RATE_PER_S, seed, REQUEST_TIMEOUT_S
+    )
     async with System(make_plan(LAGERTELLER.zones, folder), LAGERTELLER, log) as system:
         killing = asyncio.create_task(kill_in_turn(system, random.Random(seed)))
         sending = asyncio.create_task(run_load(load, [system.balancer.address], tally))
@@ -72,13 +74,13 @@
             say(f"soak: {exc}")
             return EXIT_NOT_STARTED
     tell_run("soak", tally, log)
-    verdict = Verdict.of(tally, log)
+    summary = RunSummary.from_tally(tally, log)
     print(
-        f"soak: accepted={verdict.accepted} answered={verdict.answered} lost={verdict.lost} "
-        f"duplicated={verdict.duplicated} wrong={verdict.wrong} "
-        f"partial_gangs={verdict.partial_gangs}"
+        f"soak: accepted={summary.accepted} answered={summary.answered} lost={summary.lost} "
+        f"duplicated={summary.duplicated} wrong={summary.wrong} "
+        f"partial_gangs={summary.partial_gangs}"
     )
-    return 0 if verdict.clean else EXIT_BROKEN_PROMISE
+    return 0 if summary.is_clean else EXIT_BROKEN_PROMISE
 
 
 if __name__ == "__main__":
--- a/packages/agateferry-standins/agateferry_standins/tests/support.py
+++ b/packages/agateferry-standins/agateferry_standins/tests/support.py
@@ -9,8 +9,8 @@
 
 from agateferry_core.support import run_async
 from agateferry_standins.callers import JobKind, Load, Tally, run_load
-from agateferry_standins.callers.messages import End
-from agateferry_standins.callers.tally import Verdict
+from agateferry_standins.callers.messages import RequestOutcome
+from agateferry_standins.callers.tally import RunSummary
 from agateferry_standins.deployment import LAGERTELLER, System, make_plan
 from agateferry_standins.deployment.system import wait_for
 from agateferry_standins.report import quiet_logs
@@ -51,7 +51,7 @@
 
     async def until_accepted(self, count):
         async def enough():
-            return self.tally.accepted() >= count
+            return self.tally.accepted_count() >= count
 
         await wait_for(enough, f"{count} accepted requests")
 
@@ -85,10 +85,14 @@
         return daemon
 
     def assert_clean(self):
-        verdict = Verdict.of(self.tally, self.starts)
-        troubles = [f"{r.key} {r.request_id} {r.detail}" for r in self.tally.lost()]
-        troubles += [*self.tally.wrong, *self.tally.check_runs(self.starts)]
-        self.assertTrue(verdict.clean, f"{verdict} {troubles[:5]}")
+        summary = RunSummary.from_tally(self.tally, self.starts)
+        troubles = [f"{r.key} {r.request_id} {r.detail}" for r in self.tally.lost_requests()]
+        troubles += [*self.tally.mismatches, *self.tally.find_run_mismatches(self.starts)]
+        self.assertTrue(summary.is_clean, f"{summary} {troubles[:5]}")
 
     def assert_all_finished(self):
-        self.assertEqual({str(End.FINISHED)}, set(self.tally.ends()), str(self.tally.ends()))
+        self.assertEqual(
+            {str(RequestOutcome.FINISHED)},
+            set(self.tally.outcome_counts()),
+            str(self.tally.outcome_counts()),
+        )
--- a/packages/agateferry-standins/agateferry_standins/tests/test_operations.py
+++ b/packages/agateferry-standins/agateferry_standins/tests/test_operations.py
@@ -34,9 +34,9 @@
             worker.leave()
             await asyncio.sleep(LEAVING_S)
             asked = self.starts.violations["asked-while-leaving"]
-            accepted = self.tally.accepted()
+            accepted = self.tally.accepted_count()
             await sending
-            self.assertGreater(self.tally.accepted(), accepted)
+            self.assertGreater(self.tally.accepted_count(), accepted)
             self.assertEqual(asked, self.starts.violations["asked-while-leaving"])
             self.assertEqual(0, worker.table.slots_used())
             self.assert_all_finished()
