--- a/packages/agateferry-standins/agateferry_standins/balancer/__init__.py
+++ b/packages/agateferry-standins/agateferry_standins/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""A TCP balancer over the callers' ports."""
+"""A TCP load balancer for the callers' ports of the entry hosts."""
 
 from agateferry_standins.balancer.balancer import Backend, Balancer
 
--- a/packages/agateferry-standins/agateferry_standins/balancer/balancer.py
+++ b/packages/agateferry-standins/agateferry_standins/balancer/balancer.py
@@ -1,7 +1,8 @@
-"""A small TCP balancer, as the platform has one before the entry hosts.
+"""A small TCP load balancer in place of the platform's balancer in front of the entry hosts.
 
-It sends each new connection to the next host that is ready. A host is asked for `/readyz` on its
-operators' port every `CHECK_PAUSE_S`; one that refuses a connection is skipped at once.
+It forwards each new connection to the next ready host. Readiness is checked by `/readyz` on each
+host's operators' port every `CHECK_INTERVAL_S`; a host that refuses a connection is skipped until
+the next check.
 """
 
 import asyncio
@@ -10,7 +11,7 @@
 
 import aiohttp
 
-CHECK_PAUSE_S = 0.25
+CHECK_INTERVAL_S = 0.25
 CHECK_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.5
 CHUNK_BYTES = 65_536
@@ -20,58 +21,58 @@
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """One entry host: where callers go and where readiness is asked, each `ip:port`."""
+    """The addresses of an entry host for callers and for readiness checks, each `ip:port`."""
 
     callers: str
     operators: str
 
 
 class Balancer:
-    """Accept connections and hand each to a ready host, in turn."""
+    """Forward each accepted connection to a ready host, in turn."""
 
     def __init__(self, backends: list[Backend], port: int = 0, host: str = "127.0.0.1") -> None:
         self._backends = backends
         self._host = host
         self._port = port
         self._ready: set[Backend] = set()
-        self._turn = 0
+        self._next_index = 0
         self._server: asyncio.Server | None = None
-        self._checking: asyncio.Task[None] | None = None
-        self._conns: set[asyncio.Task[None]] = set()
+        self._check_task: asyncio.Task[None] | None = None
+        self._conn_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def address(self) -> str:
-        """Return the address that callers use."""
+        """Return the address on which the balancer listens, `ip:port`."""
         return f"{self._host}:{self._port}"
 
     async def start(self) -> None:
-        """Look once at every host, then listen."""
+        """Check the readiness of every host once, then listen."""
         async with aiohttp.ClientSession() as session:
             await self._check_all(session)
-        self._checking = asyncio.create_task(self._check())
+        self._check_task = asyncio.create_task(self._check_periodically())
         self._server = await asyncio.start_server(self._accept, self._host, self._port)
         self._port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
         """Close the listener and all connections."""
-        tasks = list(self._conns)
-        if self._checking is not None:
-            tasks.append(self._checking)
+        tasks = list(self._conn_tasks)
+        if self._check_task is not None:
+            tasks.append(self._check_task)
         if self._server is not None:
             self._server.close()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _check(self) -> None:
+    async def _check_periodically(self) -> None:
         async with aiohttp.ClientSession() as session:
             while True:
                 await self._check_all(session)
-                await asyncio.sleep(CHECK_PAUSE_S)
+                await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def _check_all(self, session: aiohttp.ClientSession) -> None:
-        answers = await asyncio.gather(*(self._is_ready(session, b) for b in self._backends))
-        self._ready = {b for b, ready in zip(self._backends, answers, strict=True) if ready}
+        results = await asyncio.gather(*(self._is_ready(session, b) for b in self._backends))
+        self._ready = {b for b, ready in zip(self._backends, results, strict=True) if ready}
 
     async def _is_ready(self, session: aiohttp.ClientSession, backend: Backend) -> bool:
         timeout = aiohttp.ClientTimeout(total=CHECK_TIMEOUT_S)
@@ -85,22 +86,22 @@
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._conns.add(task)
+        self._conn_tasks.add(task)
         try:
-            far = await self._connect()
-            if far is not None:
-                await self._join((reader, writer), far)
+            backend_streams = await self._connect()
+            if backend_streams is not None:
+                await self._forward((reader, writer), backend_streams)
         except (OSError, asyncio.CancelledError):
             return
         finally:
-            self._conns.discard(task)
+            self._conn_tasks.discard(task)
             writer.close()
 
     async def _connect(self) -> Streams | None:
-        """Connect to the next ready host that accepts; None when there is none."""
+        """Connect to the next ready host that accepts, or return None if none does."""
         for _ in self._backends:
-            backend = self._backends[self._turn % len(self._backends)]
-            self._turn += 1
+            backend = self._backends[self._next_index % len(self._backends)]
+            self._next_index += 1
             if backend not in self._ready:
                 continue
             host, _, port = backend.callers.rpartition(":")
@@ -111,24 +112,24 @@
                 self._ready.discard(backend)
         return None
 
-    async def _join(self, near: Streams, far: Streams) -> None:
-        pumps = [
-            asyncio.create_task(pump(near[0], far[1])),
-            asyncio.create_task(pump(far[0], near[1])),
+    async def _forward(self, client_streams: Streams, backend_streams: Streams) -> None:
+        copy_tasks = [
+            asyncio.create_task(copy_stream(client_streams[0], backend_streams[1])),
+            asyncio.create_task(copy_stream(backend_streams[0], client_streams[1])),
         ]
         try:
-            await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
-            if pumps[0].done():
-                await pumps[1]
+            await asyncio.wait(copy_tasks, return_when=asyncio.FIRST_COMPLETED)
+            if copy_tasks[0].done():
+                await copy_tasks[1]
         finally:
-            for task in pumps:
+            for task in copy_tasks:
                 task.cancel()
-            await asyncio.gather(*pumps, return_exceptions=True)
-            far[1].close()
+            await asyncio.gather(*copy_tasks, return_exceptions=True)
+            backend_streams[1].close()
 
 
-async def pump(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Pass bytes on until the reader's end, then pass on the end."""
+async def copy_stream(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Copy bytes until the end of the stream, then close the writer's sending side."""
     with contextlib.suppress(OSError):
         while chunk := await reader.read(CHUNK_BYTES):
             writer.write(chunk)
--- a/packages/agateferry-standins/agateferry_standins/balancer/tests/test_balancer.py
+++ b/packages/agateferry-standins/agateferry_standins/balancer/tests/test_balancer.py
@@ -15,7 +15,7 @@
     async def start(self):
         app = web.Application()
         app.router.add_get("/readyz", self._readyz)
-        app.router.add_get("/", self._who)
+        app.router.add_get("/", self._get_name)
         self.runner = web.AppRunner(app)
         await self.runner.setup()
         await web.TCPSite(self.runner, "127.0.0.1", 0).start()
@@ -25,12 +25,12 @@
     async def _readyz(self, req):
         return web.Response(status=200 if self.ready else 503)
 
-    async def _who(self, req):
+    async def _get_name(self, req):
         return web.Response(text=self.name)
 
 
 class BalancerTests(testtools.TestCase):
-    def in_loop(self, test):
+    def with_balancer(self, test):
         async def main():
             self.hosts = [FakeHost(name) for name in "abc"]
             backends = [await host.start() for host in self.hosts]
@@ -41,38 +41,38 @@
             for host in self.hosts:
                 await host.runner.cleanup()
 
-        self.patch(balancer, "CHECK_PAUSE_S", 0.01)
+        self.patch(balancer, "CHECK_INTERVAL_S", 0.01)
         run_async(main(), 10)
 
-    async def ask(self):
+    async def get_host_name(self):
         async with (
             aiohttp.ClientSession() as session,
             session.get(f"http://{self.balancer.address}/") as resp,
         ):
             return await resp.text()
 
-    async def ask_until(self, wanted):
-        while {await self.ask() for _ in range(6)} != wanted:
+    async def wait_for_host_names(self, expected):
+        while {await self.get_host_name() for _ in range(6)} != expected:
             pass
 
-    def test_takes_hosts_in_turn(self):
+    def test_hosts_get_connections_in_turn(self):
         async def test():
-            self.assertEqual(["a", "b", "c", "a"], [await self.ask() for _ in range(4)])
+            self.assertEqual(["a", "b", "c", "a"], [await self.get_host_name() for _ in range(4)])
 
-        self.in_loop(test)
+        self.with_balancer(test)
 
-    def test_skips_a_host_that_is_not_ready(self):
+    def test_a_host_that_is_not_ready_is_skipped(self):
         async def test():
             self.hosts[1].ready = False
-            await self.ask_until({"a", "c"})
+            await self.wait_for_host_names({"a", "c"})
             self.hosts[1].ready = True
-            await self.ask_until({"a", "b", "c"})
+            await self.wait_for_host_names({"a", "b", "c"})
 
-        self.in_loop(test)
+        self.with_balancer(test)
 
-    def test_skips_a_host_that_refuses_connections_at_once(self):
+    def test_a_host_that_refuses_connections_is_skipped_at_once(self):
         async def test():
             await self.hosts[0].runner.cleanup()
-            self.assertEqual(["b", "c", "b"], [await self.ask() for _ in range(3)])
+            self.assertEqual(["b", "c", "b"], [await self.get_host_name() for _ in range(3)])
 
-        self.in_loop(test)
+        self.with_balancer(test)
--- a/packages/agateferry-standins/agateferry_standins/callers/tally.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/tally.py
@@ -110,6 +110,6 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether every accepted request got its own answer and nothing ran twice or in part."""
+        """Tell whether every accepted request got its own answer and the error counts are 0."""
         error_count = self.lost + self.duplicated + self.wrong + self.partial_gangs
         return self.accepted == self.answered and error_count == 0
--- a/packages/agateferry-standins/agateferry_standins/relay/__init__.py
+++ b/packages/agateferry-standins/agateferry_standins/relay/__init__.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can cut one direction."""
+"""A TCP relay that can hold or drop the bytes of one direction."""
 
 from agateferry_standins.relay.relay import Direction, Flow, Relay
 
--- a/packages/agateferry-standins/agateferry_standins/relay/relay.py
+++ b/packages/agateferry-standins/agateferry_standins/relay/relay.py
@@ -1,7 +1,7 @@
-"""A TCP relay between two addresses, with each direction passed, held or dropped on command.
+"""A TCP relay whose directions can each be set to pass, hold or drop bytes.
 
-A daemon is told the relay's address in place of its peer's; a cut in one direction then looks to
-both ends as a silent network partition does: connections stay open and bytes do not arrive.
+The settings of a daemon have the relay's address in place of its peer's. A direction that is held
+or dropped looks like a network partition: connections stay open and bytes do not arrive.
 """
 
 import asyncio
@@ -12,14 +12,14 @@
 
 
 class Direction(StrEnum):
-    """Name a direction of the relay, seen from whoever connects to it."""
+    """A direction of the relay: from the connecting client to the target, or back."""
 
     FORWARD = "forward"
     BACK = "back"
 
 
 class Flow(StrEnum):
-    """Say what becomes of the bytes of a direction."""
+    """What happens to the bytes of a direction: sent, kept until `PASS`, or discarded."""
 
     PASS = "pass"
     HOLD = "hold"
@@ -27,7 +27,7 @@
 
 
 class Relay:
-    """Pass bytes between those who connect and the `target`, an `ip:port`.
+    """Forward each accepted connection to the `target`, an `ip:port`.
 
     For example `await relay.start()` and then `relay.set_flow(Direction.BACK, Flow.DROP)`.
     """
@@ -38,17 +38,17 @@
         self._host = host
         self._port = port
         self._flows = dict.fromkeys(Direction, Flow.PASS)
-        self._changed = asyncio.Event()
+        self._flow_changed = asyncio.Event()
         self._server: asyncio.Server | None = None
-        self._conns: set[asyncio.Task[None]] = set()
+        self._conn_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def address(self) -> str:
-        """Return the address that the relay listens on."""
+        """Return the address on which the relay listens, `ip:port`."""
         return f"{self._host}:{self._port}"
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self._server = await asyncio.start_server(self._accept, self._host, self._port)
         self._port = self._server.sockets[0].getsockname()[1]
 
@@ -56,43 +56,45 @@
         """Close the listener and all connections."""
         if self._server is not None:
             self._server.close()
-        for conn in list(self._conns):
-            conn.cancel()
-        await asyncio.gather(*self._conns, return_exceptions=True)
+        for task in list(self._conn_tasks):
+            task.cancel()
+        await asyncio.gather(*self._conn_tasks, return_exceptions=True)
 
     def set_flow(self, direction: Direction, flow: Flow) -> None:
-        """Change what becomes of the bytes of a direction; held bytes go on with PASS."""
+        """Set the flow of a direction; `PASS` sends held bytes and `DROP` discards them."""
         self._flows[direction] = flow
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._flow_changed.set()
+        self._flow_changed = asyncio.Event()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._conns.add(task)
+        self._conn_tasks.add(task)
         try:
-            await self._join(reader, writer)
+            await self._forward(reader, writer)
         except (OSError, asyncio.CancelledError):
             return
         finally:
-            self._conns.discard(task)
+            self._conn_tasks.discard(task)
             writer.close()
 
-    async def _join(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        far_reader, far_writer = await asyncio.open_connection(self._target_host, self._target_port)
-        pumps = [
-            asyncio.create_task(self._pump(Direction.FORWARD, reader, far_writer)),
-            asyncio.create_task(self._pump(Direction.BACK, far_reader, writer)),
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        target_reader, target_writer = await asyncio.open_connection(
+            self._target_host, self._target_port
+        )
+        copy_tasks = [
+            asyncio.create_task(self._copy_stream(Direction.FORWARD, reader, target_writer)),
+            asyncio.create_task(self._copy_stream(Direction.BACK, target_reader, writer)),
         ]
         try:
-            await asyncio.wait(pumps)
+            await asyncio.wait(copy_tasks)
         finally:
-            for pump in pumps:
-                pump.cancel()
-            await asyncio.gather(*pumps, return_exceptions=True)
-            far_writer.close()
+            for task in copy_tasks:
+                task.cancel()
+            await asyncio.gather(*copy_tasks, return_exceptions=True)
+            target_writer.close()
 
-    async def _pump(
+    async def _copy_stream(
         self, direction: Direction, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         with contextlib.suppress(OSError):
@@ -105,5 +107,5 @@
 
     async def _may_pass(self, direction: Direction) -> bool:
         while self._flows[direction] is Flow.HOLD:
-            await self._changed.wait()
+            await self._flow_changed.wait()
         return self._flows[direction] is Flow.PASS
--- a/packages/agateferry-standins/agateferry_standins/relay/tests/test_relay.py
+++ b/packages/agateferry-standins/agateferry_standins/relay/tests/test_relay.py
@@ -9,15 +9,15 @@
 
 
 class RelayTests(testtools.TestCase):
-    def in_loop(self, test):
+    def with_relay(self, test):
         async def echo(reader, writer):
             while data := await reader.read(100):
-                self.arrived.append(data)
+                self.received.append(data)
                 writer.write(data)
             writer.close()
 
         async def main():
-            self.arrived = []
+            self.received = []
             server = await asyncio.start_server(echo, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
             relay = Relay(f"127.0.0.1:{port}")
@@ -31,41 +31,41 @@
 
         run_async(main(), 10)
 
-    async def silent(self, reader):
+    async def receives_nothing(self, reader):
         try:
             await asyncio.wait_for(reader.read(100), SILENCE_S)
         except TimeoutError:
             return True
         return False
 
-    def test_passes_both_ways_and_ends(self):
+    def test_bytes_and_the_end_of_the_stream_are_forwarded_both_ways(self):
         async def test(relay, reader, writer):
             writer.write(b"hello")
             self.assertEqual(b"hello", await reader.readexactly(5))
             writer.write_eof()
             self.assertEqual(b"", await reader.read())
 
-        self.in_loop(test)
+        self.with_relay(test)
 
-    def test_held_bytes_arrive_later(self):
+    def test_held_bytes_arrive_after_pass(self):
         async def test(relay, reader, writer):
             relay.set_flow(Direction.BACK, Flow.HOLD)
             writer.write(b"hello")
-            self.assertTrue(await self.silent(reader))
-            self.assertEqual([b"hello"], self.arrived)
+            self.assertTrue(await self.receives_nothing(reader))
+            self.assertEqual([b"hello"], self.received)
             relay.set_flow(Direction.BACK, Flow.PASS)
             self.assertEqual(b"hello", await reader.readexactly(5))
 
-        self.in_loop(test)
+        self.with_relay(test)
 
     def test_dropped_bytes_never_arrive(self):
         async def test(relay, reader, writer):
             relay.set_flow(Direction.FORWARD, Flow.DROP)
             writer.write(b"lost")
-            self.assertTrue(await self.silent(reader))
+            self.assertTrue(await self.receives_nothing(reader))
             relay.set_flow(Direction.FORWARD, Flow.PASS)
             writer.write(b"found")
             self.assertEqual(b"found", await reader.readexactly(5))
-            self.assertEqual([b"found"], self.arrived)
+            self.assertEqual([b"found"], self.received)
 
-        self.in_loop(test)
+        self.with_relay(test)
