--- a/packages/agateferry-standins/agateferry_standins/__init__.py
+++ b/packages/agateferry-standins/agateferry_standins/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-in workers, balancer and callers for demo, measurements and tests."""
+"""Stand-in workers, balancer and callers for the demo, measurements and tests."""
 
 __version__ = "0.1.0"
--- a/packages/agateferry-standins/agateferry_standins/tests/test_budget.py
+++ b/packages/agateferry-standins/agateferry_standins/tests/test_budget.py
@@ -5,8 +5,8 @@
 from agateferry_standins.budget import cpu_seconds, memory_mb, peer_bytes
 
 
-class ReadingTests(testtools.TestCase):
-    def test_processor_time_is_read_past_a_name_with_spaces(self):
+class ResourceUsageTests(testtools.TestCase):
+    def test_processor_time_is_read_after_a_name_with_spaces(self):
         fields = " ".join(str(n) for n in range(3, 53))
         ticks = os.sysconf("SC_CLK_TCK")
         self.assertEqual((14 + 15) / ticks, cpu_seconds(f"7 (a b) c) {fields}"))
--- a/packages/agateferry-standins/agateferry_standins/tests/test_crashes.py
+++ b/packages/agateferry-standins/agateferry_standins/tests/test_crashes.py
@@ -3,110 +3,112 @@
 
 from agateferry_standins.callers import JobKind
 from agateferry_standins.deployment.system import wait_for
-from agateferry_standins.tests.support import ONCE, ZONE, SystemTestCase
+from agateferry_standins.tests.support import RUN_ONCE, ZONE, SystemTestCase
 
-HELD = JobKind("load-reconcile", "load-desk", idempotent=False, run_ms=1500)
+LONG_RUN = JobKind("load-reconcile", "load-desk", idempotent=False, run_ms=1500)
 
 
 class KillTests(SystemTestCase):
-    def test_the_entry_host_that_holds_a_request(self):
+    def test_kill_of_the_entry_host_that_serves_running_requests(self):
         async def test():
             leader = await self.system.leader(ZONE)
-            holder = next(host for host in self.plan.hosts if host.name != leader)
-            other = next(h for h in self.plan.hosts if h.name not in (leader, holder.name))
-            sending = self.send((HELD,), 6, 100, entries=(holder.callers, other.callers))
-            await self.until_started(6)
-            await self.system.daemons[holder.name].kill()
-            await sending
+            serving_host = next(host for host in self.plan.hosts if host.name != leader)
+            other = next(h for h in self.plan.hosts if h.name not in (leader, serving_host.name))
+            load_task = self.send(
+                (LONG_RUN,), 6, 100, entries=(serving_host.callers, other.callers)
+            )
+            await self.wait_for_starts(6)
+            await self.system.daemons[serving_host.name].kill()
+            await load_task
             self.assert_all_finished()
             self.assert_clean()
 
-        self.on_system(test)
+        self.run_on_system(test)
 
-    def test_an_entry_host_in_a_stream_of_requests(self):
+    def test_kill_of_an_entry_host_under_load(self):
         async def test():
             leader = await self.system.leader(ZONE)
             victim = next(host for host in self.plan.hosts if host.name != leader)
-            sending = self.send()
-            await self.until_accepted(30)
+            load_task = self.send()
+            await self.wait_for_accepted(30)
             await self.system.daemons[victim.name].kill()
-            await sending
+            await load_task
             self.assert_clean()
 
-        self.on_system(test)
+        self.run_on_system(test)
 
-    def test_the_leader(self):
+    def test_kill_of_the_leader(self):
         async def test():
             leader = await self.system.leader(ZONE)
-            sending = self.send()
-            await self.until_accepted(30)
+            load_task = self.send()
+            await self.wait_for_accepted(30)
             await self.system.daemons[leader].kill()
-            await sending
+            await load_task
             self.assert_clean()
 
-        self.on_system(test)
+        self.run_on_system(test)
 
-    def test_the_leader_twice_with_a_restart_between(self):
+    def test_two_kills_of_the_leader_with_a_restart_between(self):
         async def test():
-            sending = self.send(count=240)
+            load_task = self.send(count=240)
             for accepted in (30, 120):
-                await self.until_accepted(accepted)
+                await self.wait_for_accepted(accepted)
                 leader = await self.system.leader(ZONE)
                 await self.system.daemons[leader].kill()
-                await self.new_leader(leader)
+                await self.wait_for_new_leader(leader)
                 await self.system.daemons[leader].start()
                 await self.system.wait_ready([leader])
-            await sending
+            await load_task
             self.assert_clean()
 
-        self.on_system(test)
+        self.run_on_system(test)
 
-    def test_a_worker_in_a_stream_of_requests_that_run_once(self):
+    def test_kill_of_a_worker_under_load_that_is_not_idempotent(self):
         async def test():
-            sending = self.send((ONCE,), 100)
-            await self.until_started(30)
+            load_task = self.send((RUN_ONCE,), 100)
+            await self.wait_for_starts(30)
             await self.busiest_worker().stop()
-            await sending
+            await load_task
             self.assert_clean()
 
-        self.on_system(test)
+        self.run_on_system(test)
 
 
-class FrozenTests(SystemTestCase):
-    def test_a_leader_that_comes_back_repeats_nothing(self):
+class FrozenLeaderTests(SystemTestCase):
+    def test_a_resumed_leader_repeats_nothing(self):
         async def test():
             leader = await self.system.leader(ZONE)
-            sending = self.send(count=160)
-            await self.until_accepted(30)
+            load_task = self.send(count=160)
+            await self.wait_for_accepted(30)
             frozen = self.freeze(leader)
-            await self.new_leader(leader)
-            await self.until_accepted(60)
+            await self.wait_for_new_leader(leader)
+            await self.wait_for_accepted(60)
             frozen.signal(signal.SIGCONT)
-            await sending
+            await load_task
             self.assert_clean()
 
-        self.on_system(test)
+        self.run_on_system(test)
 
 
 class LostDiskTests(SystemTestCase):
-    def test_a_host_with_an_emptied_folder_comes_back_and_counts_again(self):
+    def test_a_host_with_an_empty_data_folder_becomes_a_voter_again(self):
         async def test():
             leader = await self.system.leader(ZONE)
-            emptied = next(host for host in self.plan.hosts if host.name != leader)
-            before = await self.incarnation(emptied)
-            sending = self.send(count=60)
-            await self.until_accepted(20)
-            await self.system.daemons[emptied.name].kill()
-            shutil.rmtree(emptied.data_folder)
-            await self.system.daemons[emptied.name].start()
-            await self.system.wait_ready([emptied.name])
-            await sending
-            await self.until_voting(emptied, before)
+            wiped = next(host for host in self.plan.hosts if host.name != leader)
+            before = await self.incarnation(wiped)
+            load_task = self.send(count=60)
+            await self.wait_for_accepted(20)
+            await self.system.daemons[wiped.name].kill()
+            shutil.rmtree(wiped.data_folder)
+            await self.system.daemons[wiped.name].start()
+            await self.system.wait_ready([wiped.name])
+            await load_task
+            await self.wait_until_voting(wiped, before)
             await self.system.daemons[leader].kill()
             await self.send(count=40, seed=2)
             self.assert_clean()
 
-        self.on_system(test)
+        self.run_on_system(test)
 
     async def voter(self, host):
         _, body = await self.system.operator.call("GET", "/v1/cell", address=host.operators)
@@ -116,9 +118,9 @@
     async def incarnation(self, host):
         return (await self.voter(host))["incarnation"]
 
-    async def until_voting(self, host, old_incarnation):
-        async def votes():
+    async def wait_until_voting(self, host, old_incarnation):
+        async def is_voting():
             voter = await self.voter(host)
             return voter is not None and voter["incarnation"] != old_incarnation
 
-        await wait_for(votes, f"{host.name} to vote again")
+        await wait_for(is_voting, f"{host.name} to vote again")
--- a/packages/agateferry-standins/agateferry_standins/tests/test_demo.py
+++ b/packages/agateferry-standins/agateferry_standins/tests/test_demo.py
@@ -15,8 +15,8 @@
         super().setUp()
         self.parent = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, self.parent)
-        self.said = []
-        self.patch(demo, "say", self.said.append)
+        self.progress_lines = []
+        self.patch(demo, "print_progress", self.progress_lines.append)
 
     def run_demo(self, base_port):
         arguments = ["demo", "--folder", str(self.parent / "run"), "--base-port", str(base_port)]
@@ -26,7 +26,7 @@
     def test_an_old_run_left_over_is_a_clear_error(self):
         (self.parent / "run").mkdir()
         self.assertEqual(demo.EXIT_NOT_STARTED, self.run_demo(free_ports(1)[0]))
-        self.assertIn("an earlier run left", self.said[-1])
+        self.assertIn("an earlier run left", self.progress_lines[-1])
         self.assertTrue((self.parent / "run").exists())
 
     def test_a_taken_port_is_a_clear_error(self):
@@ -35,5 +35,5 @@
             sock.listen()
             port = sock.getsockname()[1]
             self.assertEqual(demo.EXIT_NOT_STARTED, self.run_demo(port))
-        self.assertIn(f"127.0.0.1:{port}", self.said[-1])
+        self.assertIn(f"127.0.0.1:{port}", self.progress_lines[-1])
         self.assertFalse((self.parent / "run").exists())
--- a/packages/agateferry-standins/agateferry_standins/tests/test_in_force.py
+++ b/packages/agateferry-standins/agateferry_standins/tests/test_in_force.py
@@ -9,26 +9,26 @@
 from agateferry_standins.deployment import make_plan
 
 ZONES = ("a", "b", "c")
-LOOKS_BEHIND = 3
+POLLS_BEHIND = 3
 
 
 class FakeOperator:
-    """Accept puts, and show a revision on a host after a few looks, but not on a frozen one."""
+    """Accept puts, and report a revision on a host from its third poll on, unless it is frozen."""
 
     def __init__(self, system):
         self.system = system
         self.newest = 0
-        self.looks = {}
+        self.polls = {}
 
     async def call(self, method, path, body=None, address=""):
         if address in self.system.frozen:
             return 0, {}
         if method == "PUT":
             self.newest += 1
-            self.looks = {}
+            self.polls = {}
             return 200, {"revision": self.newest}
-        self.looks[address] = self.looks.get(address, 0) + 1
-        behind = self.looks[address] < LOOKS_BEHIND
+        self.polls[address] = self.polls.get(address, 0) + 1
+        behind = self.polls[address] < POLLS_BEHIND
         return 200, {"records": {"revision": self.newest - behind or None}}
 
 
@@ -40,34 +40,34 @@
         self.daemons = {host.name: self.daemon(host) for host in self.plan.hosts}
 
     def daemon(self, host):
-        changes = {signal.SIGSTOP: self.freeze, signal.SIGCONT: self.thaw}
+        changes = {signal.SIGSTOP: self.freeze, signal.SIGCONT: self.resume}
         return mock.Mock(signal=lambda number: changes[number](host))
 
     def freeze(self, host):
         self.frozen.add(host.operators)
 
-    def thaw(self, host):
+    def resume(self, host):
         self.frozen.remove(host.operators)
 
 
 class InForceTests(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        for name, value in (("PUTS", 3), ("FROZEN_S", 0)):
+        for name, value in (("PUT_COUNT", 3), ("FREEZE_BEFORE_PUT_S", 0)):
             patch = mock.patch.object(in_force, name, value)
             patch.start()
             self.addCleanup(patch.stop)
         self.system = FakeSystem()
-        self.measured = in_force.InForce(self.system)
+        self.measurement = in_force.PropagationMeasurement(self.system)
 
     def test_waits_until_every_host_has_the_revision(self):
-        accepted, spread = run_async(self.measured.steady())
-        self.assertEqual((3, 3, 3), (len(accepted), len(spread), self.system.operator.newest))
-        looks = self.system.operator.looks
-        self.assertEqual((9, LOOKS_BEHIND), (len(looks), min(looks.values())))
+        accepted, in_force_ms = run_async(self.measurement.measure_steady())
+        self.assertEqual((3, 3, 3), (len(accepted), len(in_force_ms), self.system.operator.newest))
+        polls = self.system.operator.polls
+        self.assertEqual((9, POLLS_BEHIND), (len(polls), min(polls.values())))
 
-    def test_a_frozen_zone_is_woken_after_the_others_have_it(self):
-        times = run_async(self.measured.with_frozen_zone("b"))
+    def test_a_frozen_zone_is_resumed_after_the_others_have_the_revision(self):
+        times = run_async(self.measurement.measure_with_frozen_zone("b"))
         self.assertEqual((3, set()), (len(times), self.system.frozen))
         hosts = {host.operators for host in self.system.plan.hosts}
-        self.assertEqual(hosts, set(self.system.operator.looks))
+        self.assertEqual(hosts, set(self.system.operator.polls))
