--- a/packages/agateferry-standins/agateferry_standins/callers/tally.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/tally.py
@@ -67,7 +67,9 @@
         for record in self.records:
             started = starts[record.key]
             if record.answer.get("run") == "not-run" and started:
-                mismatches.append(f"{record.key} was told not-run and started on {started} workers")
+                mismatches.append(
+                    f"{record.key} was answered not-run but started on {started} workers"
+                )
             if record.outcome in RUN_OUTCOMES and started < record.kind.members:
                 mismatches.append(f"{record.key} finished with {started} members started")
         return mismatches
--- a/packages/agateferry-standins/agateferry_standins/deployment/__init__.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/__init__.py
@@ -1,4 +1,4 @@
-"""Whole systems on the loopback interface: daemons, workers, balancer and records."""
+"""Complete systems on the loopback interface: daemons, workers, balancer and records."""
 
 from agateferry_standins.deployment.daemon import DaemonProcess
 from agateferry_standins.deployment.plan import HostPlan, PlanError, SystemPlan, make_plan
--- a/packages/agateferry-standins/agateferry_standins/deployment/system.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/system.py
@@ -1,4 +1,4 @@
-"""A whole system on loopback, with each daemon as a process of its own.
+"""A complete system on loopback, with each daemon as a process of its own.
 
 The workers and the balancer run in this process.
 """
--- a/packages/agateferry-standins/agateferry_standins/worker/leases.py
+++ b/packages/agateferry-standins/agateferry_standins/worker/leases.py
@@ -83,7 +83,7 @@
         return Ok(lease)
 
     def checkpoint(self, lease_id: str) -> LeaseResult:
-        """Record a checkpoint of a running task: the last whole step that it completed."""
+        """Record a checkpoint of a running task: the last step that it completed."""
         return self.get(lease_id).map(self._checkpoint)
 
     def throttle(self, lease_id: str, share: float) -> LeaseResult:
@@ -230,7 +230,7 @@
     def _end_task(self, lease: Lease) -> None:
         if lease.task.fail:
             lease.state = LeaseState.FAILED
-            lease.error = "the task was told to fail"
+            lease.error = "simulated failure of the task"
             return
         lease.state = LeaseState.FINISHED
         self._log.record_finish(lease.request, lease.task.key)
--- a/packages/agateferry-standins/agateferry_standins/worker/start_log.py
+++ b/packages/agateferry-standins/agateferry_standins/worker/start_log.py
@@ -69,7 +69,7 @@
             self._gang(request).finished.add(request.member)
 
     def record_violation(self, kind: str) -> None:
-        """Record a call that a worker had to refuse, or a connection above its limit."""
+        """Record a lease beyond a worker's capacity or after it left, or too many connections."""
         self.violations[kind] += 1
 
     def duplicated_tasks(self, jobs: frozenset[str]) -> list[tuple[str, str, int]]:
