--- a/packages/agateferry-jobs/agateferry_jobs/calls/client.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/client.py
@@ -12,7 +12,7 @@
 
 from agateferry_core.clock import MS_PER_S, Clock
 from agateferry_core.logs import EventLogger
-from agateferry_core.tasks import is_cancelled_itself
+from agateferry_core.tasks import is_current_task_cancelled
 from agateferry_jobs import metrics
 from agateferry_jobs.calls import events, messages
 from agateferry_jobs.rpc import leader_pb2 as pb
@@ -134,7 +134,7 @@
             self._log_first_failure(host, exc.code().name, _label(call))
             return messages.OutcomeUnknown(exc.code().name)
         except asyncio.CancelledError:
-            if is_cancelled_itself():
+            if is_current_task_cancelled():
                 raise
             return messages.OutcomeUnknown("its channel was closed by another call")
         except grpc.aio.UsageError:
--- a/packages/agateferry-service/agateferry_service/routing/router.py
+++ b/packages/agateferry-service/agateferry_service/routing/router.py
@@ -10,7 +10,7 @@
 
 from agateferry_core.clock import Clock
 from agateferry_core.metrics import Metrics
-from agateferry_core.tasks import is_cancelled_itself
+from agateferry_core.tasks import is_current_task_cancelled
 from agateferry_service.cell.refusals import RETRY_AFTER_MS, RefusalReason, refusal
 from agateferry_service.routing.channels import Channels
 from agateferry_service.rpc import cell_pb2 as pb
@@ -120,7 +120,7 @@
             count_received(reply.ByteSize())
             return reply, True
         except asyncio.CancelledError:
-            if is_cancelled_itself():
+            if is_current_task_cancelled():
                 raise
             return None, True
         except grpc.aio.AioRpcError as exc:
