--- a/packages/agateferry-core/agateferry_core/__init__.py
+++ b/packages/agateferry-core/agateferry_core/__init__.py
@@ -1,3 +1,3 @@
-"""Shared types of agateferry: clock, outcomes, demands, settings, logs and metrics."""
+"""Shared types of agateferry: clock, demands, log events, metrics and helpers of tests."""
 
 __version__ = "0.1.0"
--- a/packages/agateferry-core/agateferry_core/clock/__init__.py
+++ b/packages/agateferry-core/agateferry_core/clock/__init__.py
@@ -1,4 +1,4 @@
-"""Time in whole milliseconds, real or driven by hand."""
+"""Clocks in whole milliseconds: the system's, and one that tests and replays set."""
 
 from agateferry_core.clock.clock import MS_PER_S, Clock, ManualClock, SystemClock
 
--- a/packages/agateferry-core/agateferry_core/clock/clock.py
+++ b/packages/agateferry-core/agateferry_core/clock/clock.py
@@ -1,22 +1,22 @@
-"""The one clock type that every slice reads.
+"""The clock interface that all packages use.
 
-A clock gives two readings. `now_ms` is monotonic and serves for leases, timeouts and every other
-difference of times. `wall_ms` is milliseconds since the Unix epoch and serves only for what people
-and other hosts read, because it can jump.
+A clock has two readings. `now_ms` is monotonic; leases, timeouts and all other differences of times
+use it. `wall_ms` is milliseconds since the Unix epoch; it can jump, so it is used only in what
+people and other hosts read.
 """
 
 import time
 from typing import Protocol
 
 MS_PER_S = 1000
-MONOTONIC = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+MONOTONIC_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 class Clock(Protocol):
-    """Tell the time in whole milliseconds."""
+    """Read the time in whole milliseconds."""
 
     def now_ms(self) -> int:
-        """Return a monotonic reading; only differences have a meaning."""
+        """Return a monotonic reading in milliseconds; only differences have a meaning."""
 
     def wall_ms(self) -> int:
         """Return milliseconds since the Unix epoch."""
@@ -25,13 +25,13 @@
 class SystemClock:
     """Read the clocks of the operating system.
 
-    Where there is one, the monotonic clock is the one that goes on while the machine is suspended,
-    so that a host which slept does not take its lease for a fresh one.
+    The monotonic clock is CLOCK_BOOTTIME where the system has it. It goes on while the machine is
+    suspended, so a host that resumes does not take its expired lease for a valid one.
     """
 
     def now_ms(self) -> int:
         """Return the monotonic clock in milliseconds."""
-        return time.clock_gettime_ns(MONOTONIC) // 1_000_000
+        return time.clock_gettime_ns(MONOTONIC_CLOCK_ID) // 1_000_000
 
     def wall_ms(self) -> int:
         """Return the wall clock in milliseconds since the Unix epoch."""
@@ -39,7 +39,7 @@
 
 
 class ManualClock:
-    """Stand still until told to move, for replays and tests.
+    """Return times that replays and tests set by hand.
 
     For example `clock = ManualClock(5); clock.advance(10); clock.now_ms()` gives 15.
     """
@@ -49,11 +49,11 @@
         self._wall_offset_ms = wall_offset_ms
 
     def now_ms(self) -> int:
-        """Return the reading that was last set."""
+        """Return the monotonic reading that was last set."""
         return self._now_ms
 
     def wall_ms(self) -> int:
-        """Return the reading plus the wall offset."""
+        """Return the monotonic reading plus the offset of the wall clock."""
         return self._now_ms + self._wall_offset_ms
 
     def advance(self, by_ms: int) -> None:
@@ -63,5 +63,5 @@
         self._now_ms += by_ms
 
     def jump_wall(self, by_ms: int) -> None:
-        """Shift the wall clock alone, as a correction by an operator or by NTP would."""
+        """Shift only the wall clock, as a correction by an operator or by NTP does."""
         self._wall_offset_ms += by_ms
--- a/packages/agateferry-core/agateferry_core/clock/tests/test_clock.py
+++ b/packages/agateferry-core/agateferry_core/clock/tests/test_clock.py
@@ -4,7 +4,7 @@
 
 
 class ManualClockTests(testtools.TestCase):
-    def test_advances_by_what_it_is_told(self):
+    def test_advances_by_the_given_time(self):
         clock = ManualClock(5)
         clock.advance(10)
         self.assertEqual(15, clock.now_ms())
@@ -20,7 +20,7 @@
 
 
 class SystemClockTests(testtools.TestCase):
-    def test_does_not_run_backwards(self):
+    def test_never_goes_back(self):
         clock = SystemClock()
         first = clock.now_ms()
         self.assertGreaterEqual(clock.now_ms(), first)
--- a/packages/agateferry-core/agateferry_core/demand/__init__.py
+++ b/packages/agateferry-core/agateferry_core/demand/__init__.py
@@ -1,4 +1,4 @@
-"""What a request asks of workers, and what a worker has to give."""
+"""The resources that a request demands and that a worker has."""
 
 from agateferry_core.demand.demand import (
     Adjacency,
--- a/packages/agateferry-core/agateferry_core/demand/demand.py
+++ b/packages/agateferry-core/agateferry_core/demand/demand.py
@@ -1,11 +1,11 @@
-"""The vocabulary shared by the request ledger, the scheduler and the workers."""
+"""Types that the request ledger, the scheduler and the workers share."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Adjacency(StrEnum):
-    """Say how close together the members of a gang must sit."""
+    """Where the members of a gang must be placed: anywhere, in one rack or on one worker."""
 
     ANY = "any"
     RACK = "rack"
@@ -13,7 +13,11 @@
 
 
 class Urgency(StrEnum):
-    """Say how soon work must start; URGENT has a stated bound, LONG can wait."""
+    """How soon work must start.
+
+    An URGENT request should start within `urgent_start_ms` of the scheduling settings; a LONG one
+    can wait.
+    """
 
     URGENT = "urgent"
     NORMAL = "normal"
@@ -22,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What one request asks for: `members` equal tasks that run together or not at all.
+    """The resources that one request needs: `members` equal tasks that run together or not at all.
 
     `accelerators`, `cpu_cores` and `memory_mb` are for each member; each member also takes one
     slot. A demand with one member is an ordinary single task.
@@ -37,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """A part of a team's guarantee: `count` groups of accelerators that sit together.
+    """A part of a team's guarantee: `count` groups of accelerators close to each other.
 
-    For example `Shape(accelerators=8, adjacency=Adjacency.RACK, count=2)` promises two groups of
-    eight accelerators, each group within one rack of the zone.
+    For example `Shape(accelerators=8, adjacency=Adjacency.RACK, count=2)` guarantees two groups
+    of eight accelerators, each group within one rack of the zone.
     """
 
     accelerators: int
@@ -50,10 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """One machine of a zone, as it announced itself.
+    """One worker of a zone with its total resources, as it announced them.
 
-    `address` is host:port of its HTTP endpoint. `incarnation` changes whenever the worker starts
-    anew, so that leases given to an earlier life are not mistaken for leases of this one.
+    `address` is host:port of its HTTP endpoint. `incarnation` changes whenever the worker
+    restarts, so that leases of an earlier incarnation are not taken for leases of this one.
     """
 
     name: str
@@ -69,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """The place of one gang member: its number, its worker and how many accelerators it takes."""
+    """The placement of one gang member: its number in the gang, its worker and its accelerators."""
 
     member: int
     worker: str
--- a/packages/agateferry-core/agateferry_core/demand/tests/test_demand.py
+++ b/packages/agateferry-core/agateferry_core/demand/tests/test_demand.py
@@ -4,7 +4,7 @@
 
 
 class DemandTests(testtools.TestCase):
-    def test_a_plain_demand_is_one_small_task(self):
+    def test_the_default_demand_is_one_task_without_accelerators(self):
         self.assertEqual(
             (1, 0, Adjacency.ANY), (Demand().members, Demand().accelerators, Demand().adjacency)
         )
--- a/packages/agateferry-core/agateferry_core/logs/logs.py
+++ b/packages/agateferry-core/agateferry_core/logs/logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines whose events have numbers that never change.
+"""Structured log lines; each event has a number that never changes.
 
 Every module that logs declares its events once, as `Event` values, and writes them through an
 `EventLogger`. The catalogue in docs/events.md lists them all; a test compares the two.
@@ -16,20 +16,20 @@
 
 from agateferry_core.logs.writer import LineWriter
 
-REGISTRY: dict[int, "Event"] = {}
+EVENTS_BY_NUMBER: dict[int, "Event"] = {}
 
 
 @dataclass(frozen=True)
 class Event:
-    """One kind of log line: its number, its text and what a reader can do about it."""
+    """One kind of log line: its number, its text and what an operator can do about it."""
 
     number: int
     text: str
     advice: str
 
     def __post_init__(self) -> None:
-        """Enter the event into the registry; a number stands for one text only."""
-        known = REGISTRY.setdefault(self.number, self)
+        """Register the event; raise ValueError where its number has another text already."""
+        known = EVENTS_BY_NUMBER.setdefault(self.number, self)
         if known != self:
             raise ValueError(
                 f"log event {self.number} is declared twice: {known.text}, {self.text}"
@@ -37,28 +37,31 @@
 
 
 class EventLogger:
-    """Write events with their numbers and a set of fields bound in advance."""
+    """Write events with their numbers, and with fields that all its lines have in common."""
 
     def __init__(self, **bound: Any) -> None:
         self._log = structlog.get_logger().bind(**bound)
 
     def info(self, event: Event, **fields: Any) -> None:
-        """Write an event of the ordinary course of things."""
+        """Log an event of normal operation."""
         self._log.info(event.text, number=event.number, **fields)
 
     def warning(self, event: Event, **fields: Any) -> None:
-        """Write an event that someone should look at, with the advice that belongs to it."""
+        """Log an event that an operator should look into, with its advice."""
         self._log.warning(event.text, number=event.number, advice=event.advice, **fields)
 
     def error(self, event: Event, **fields: Any) -> None:
-        """Write an event that someone must act on, with the advice that belongs to it."""
+        """Log an event that an operator must act on, with its advice."""
         self._log.error(event.text, number=event.number, advice=event.advice, **fields)
 
 
 def configure(
     level: str = "info", as_json: bool = True, file: TextIO | LineWriter | None = None
 ) -> None:
-    """Send log lines to `file`, standard error where none is given; as JSON or for people."""
+    """Write log lines of `level` and above to `file`, which is standard error by default.
+
+    The lines are JSON objects, or plain text for people where `as_json` is false.
+    """
     renderer: Any = structlog.processors.JSONRenderer()
     if not as_json:
         renderer = structlog.dev.ConsoleRenderer(colors=False)
--- a/packages/agateferry-core/agateferry_core/logs/tests/test_writer.py
+++ b/packages/agateferry-core/agateferry_core/logs/tests/test_writer.py
@@ -20,12 +20,14 @@
     def read(self):
         return os.read(self.reader, 4_000_000).decode()
 
-    def test_lines_come_through_whole(self):
+    def test_whole_lines_are_written(self):
         self.write("one")
         self.write("two")
         self.assertEqual("one\ntwo\n", self.read())
 
-    def test_a_reader_that_stands_still_stops_nobody_and_is_told_what_was_dropped(self):
+    def test_a_stalled_reader_does_not_block_the_writer_and_learns_how_many_lines_were_dropped(
+        self,
+    ):
         for _ in range(1000):
             self.write("x" * 1000)
         self.assertGreater(self.writer.dropped, 0)
--- a/packages/agateferry-core/agateferry_core/logs/writer.py
+++ b/packages/agateferry-core/agateferry_core/logs/writer.py
@@ -1,46 +1,46 @@
-"""Log output that never waits for its reader."""
+"""Log output that does not block where its reader is slow."""
 
 import os
 
-MAX_WAITING_BYTES = 256 * 1024
-"""What may wait for a reader that is slow; about a second of lines on the heaviest day."""
+MAX_BUFFERED_BYTES = 256 * 1024
+"""Limit of the lines not yet written; about a second of lines on the heaviest day."""
 
 
 class LineWriter:
-    """Write whole lines to a descriptor without blocking; drop and count what does not fit.
+    """Write whole lines to a file descriptor without blocking; drop and count what does not fit.
 
-    The first line that fits after a gap is followed by one that tells how many were dropped.
+    The first line that fits after dropped ones is followed by a log event with their number.
     """
 
     def __init__(self, descriptor: int) -> None:
         os.set_blocking(descriptor, False)
         self.dropped = 0
         self._descriptor = descriptor
-        self._waiting = bytearray()
-        self._untold = 0
+        self._buffer = bytearray()
+        self._unreported = 0
 
     def write(self, text: str) -> None:
-        """Take the text of one line, or drop it where too much waits already."""
+        """Buffer the text of one line, or drop it where the buffer is full."""
         data = text.encode(errors="replace")
-        if len(self._waiting) + len(data) > MAX_WAITING_BYTES:
+        if len(self._buffer) + len(data) > MAX_BUFFERED_BYTES:
             self.dropped += 1
-            self._untold += 1
+            self._unreported += 1
             return
-        self._waiting += data
-        if self._untold:
-            self._waiting += b'{"number": 1001, "event": "log lines dropped", "lines": %d}\n' % (
-                self._untold
+        self._buffer += data
+        if self._unreported:
+            self._buffer += b'{"number": 1001, "event": "log lines dropped", "lines": %d}\n' % (
+                self._unreported
             )
-            self._untold = 0
+            self._unreported = 0
 
     def flush(self) -> None:
-        """Hand over as much as the reader takes now."""
-        while self._waiting:
+        """Write as much of the buffer as the descriptor accepts now."""
+        while self._buffer:
             try:
-                written = os.write(self._descriptor, self._waiting)
+                written = os.write(self._descriptor, self._buffer)
             except BlockingIOError:
                 return
             except OSError:
-                self._waiting.clear()
+                self._buffer.clear()
                 return
-            del self._waiting[:written]
+            del self._buffer[:written]
--- a/packages/agateferry-core/agateferry_core/metrics/__init__.py
+++ b/packages/agateferry-core/agateferry_core/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of one daemon."""
+"""Counters, gauges and histograms of one daemon."""
 
 from agateferry_core.metrics.metrics import CONTENT_TYPE, Metrics
 
--- a/packages/agateferry-core/agateferry_core/metrics/tests/test_metrics.py
+++ b/packages/agateferry-core/agateferry_core/metrics/tests/test_metrics.py
@@ -13,12 +13,12 @@
         metrics.refused("no-leader")
         self.assertEqual(2.0, self.value(metrics, "refusals_total", reason="no-leader"))
 
-    def test_two_daemons_do_not_count_into_each_other(self):
+    def test_two_daemons_have_separate_metrics(self):
         first, second = Metrics(), Metrics()
         first.retried("silent")
         self.assertIsNone(self.value(second, "retries_total", reason="silent"))
 
-    def test_times_are_shown_in_seconds(self):
+    def test_times_are_exported_in_seconds(self):
         metrics = Metrics()
         metrics.started("urgent", 1_500)
         metrics.ended("finished", "urgent", 2_500)
@@ -32,7 +32,7 @@
         self.assertEqual(0.0, self.value(metrics, "is_leader", log="cell"))
         self.assertEqual(2.0, self.value(metrics, "leader_changes_total", log="cell"))
 
-    def test_the_text_form_holds_every_family(self):
+    def test_the_text_format_contains_every_metric(self):
         metrics = Metrics()
         metrics.cancelled("placed")
         text = metrics.render().decode()
--- a/packages/agateferry-core/agateferry_core/support/__init__.py
+++ b/packages/agateferry-core/agateferry_core/support/__init__.py
@@ -1,4 +1,4 @@
-"""Helpers for the tests of every package."""
+"""Helpers for the tests of all packages."""
 
 from agateferry_core.support.support import (
     VirtualLoop,
--- a/tools/events.py
+++ b/tools/events.py
@@ -22,7 +22,7 @@
 """
 
 
-def modules() -> list[str]:
+def event_module_names() -> list[str]:
     """Return the dotted names of all events.py modules."""
     names = []
     for package in sorted(PACKAGES.iterdir()):
@@ -31,19 +31,19 @@
     return names
 
 
-def events() -> list[Event]:
+def declared_events() -> list[Event]:
     """Return all declared events in order of their numbers."""
-    found = {}
-    for name in modules():
+    by_number = {}
+    for name in event_module_names():
         for value in vars(importlib.import_module(name)).values():
             if isinstance(value, Event):
-                found[value.number] = value
-    return [found[number] for number in sorted(found)]
+                by_number[value.number] = value
+    return [by_number[number] for number in sorted(by_number)]
 
 
 def page() -> str:
-    """Return the text of the catalogue."""
-    rows = [f"| {event.number} | {event.text} | {event.advice} |" for event in events()]
+    """Return the text of docs/events.md."""
+    rows = [f"| {event.number} | {event.text} | {event.advice} |" for event in declared_events()]
     return HEAD + "\n".join(rows) + "\n"
 
 
--- a/tools/metrics.py
+++ b/tools/metrics.py
@@ -1,4 +1,4 @@
-"""Write docs/metrics.md, the list of metrics, from the class that declares them."""
+"""Write docs/metrics.md, the list of metrics, from the modules that declare them."""
 
 import sys
 from collections.abc import Iterable
@@ -38,21 +38,21 @@
 
 
 def page() -> str:
-    """Return the text of the page."""
-    daemon, roles = rows_of(vars(Metrics()).values()), rows_of(vars(job_metrics).values())
-    return HEAD + "\n".join(daemon) + "\n" + ROLES_HEAD + "\n".join(roles) + "\n"
+    """Return the text of docs/metrics.md."""
+    daemon_rows, role_rows = rows_of(vars(Metrics()).values()), rows_of(vars(job_metrics).values())
+    return HEAD + "\n".join(daemon_rows) + "\n" + ROLES_HEAD + "\n".join(role_rows) + "\n"
 
 
 def rows_of(values: Iterable[object]) -> list[str]:
-    """Return a row for each metric among some values, in the order of their names."""
-    declared = [one for one in values if isinstance(one, MetricWrapperBase)]
+    """Return a table row for each metric among the values, in the order of their names."""
+    metrics = [value for value in values if isinstance(value, MetricWrapperBase)]
     rows = []
-    for metric in sorted(declared, key=lambda one: one._name):
+    for metric in sorted(metrics, key=lambda metric: metric._name):
         family = metric.describe()[0]
-        ending = "_total" if family.type == "counter" else ""
+        suffix = "_total" if family.type == "counter" else ""
         labels = ", ".join(f"`{label}`" for label in metric._labelnames) or "-"
         text = family.documentation
-        rows.append(f"| `{family.name}{ending}` | {family.type} | {labels} | {text} |")
+        rows.append(f"| `{family.name}{suffix}` | {family.type} | {labels} | {text} |")
     return rows
 
 
--- a/tools/settings.py
+++ b/tools/settings.py
@@ -1,4 +1,4 @@
-"""Write the tables of docs/settings.md from the table of settings; the prose stays as it is."""
+"""Write the tables of docs/settings.md from the declared settings; keep the text around them."""
 
 import sys
 from pathlib import Path
@@ -14,14 +14,14 @@
     Setting,
 )
 
-ROW_START = "| `"
-RULE = "| --- | --- | --- | --- | --- |"
-OLD_ROW_START = "| _"
-OLD_RULE = "| --- | --- |"
+SETTING_ROW_START = "| `"
+SETTINGS_RULE = "| --- | --- | --- | --- | --- |"
+RENAMED_KEY_ROW_START = "| _"
+RENAMED_KEYS_RULE = "| --- | --- |"
 
 
-def row(setting: Setting) -> str:
-    """Return the row of one setting."""
+def setting_row(setting: Setting) -> str:
+    """Return the table row of one setting."""
     default = "absent" if setting.default is None else f"`{str(setting.default).lower()}`"
     default = "required" if setting.required else default
     allowed = setting.allowed().removeprefix("needs ").removesuffix(f" ({setting.unit})")
@@ -30,18 +30,22 @@
 
 
 def page() -> str:
-    """Return the page with the rows that belong under each section."""
+    """Return the text of docs/settings.md with its tables filled anew.
+
+    The sections have one table of settings each, in the order of `SECTIONS`; another table lists the
+    renamed keys.
+    """
     text = PAGE.read_text(encoding="utf-8")
     sections = iter(SECTIONS)
     lines: list[str] = []
     for line in text.splitlines():
-        if line.startswith((ROW_START, OLD_ROW_START)):
+        if line.startswith((SETTING_ROW_START, RENAMED_KEY_ROW_START)):
             continue
         lines.append(line)
-        if line == RULE:
+        if line == SETTINGS_RULE:
             section = next(sections)
-            lines += [row(setting) for setting in SETTINGS if setting.section == section]
-        elif line == OLD_RULE:
+            lines += [setting_row(setting) for setting in SETTINGS if setting.section == section]
+        elif line == RENAMED_KEYS_RULE:
             lines += [f"| _{s}.{old}_ | _{s}.{new}_ |" for (s, old), new in RENAMED_KEYS.items()]
     return "\n".join(lines) + "\n"
 
