--- a/packages/agateferry-cli/agateferry_cli/client/__init__.py
+++ b/packages/agateferry-cli/agateferry_cli/client/__init__.py
@@ -1,4 +1,4 @@
-"""Calls to the callers' and the operators' ports of entry hosts."""
+"""HTTP calls to the callers' and the operators' ports of entry hosts."""
 
 from agateferry_cli.client.addresses import Port, resolve_addresses
 from agateferry_cli.client.client import Answer, Client
--- a/packages/agateferry-cli/agateferry_cli/client/failures.py
+++ b/packages/agateferry-cli/agateferry_cli/client/failures.py
@@ -1,4 +1,4 @@
-"""Exit codes, and failures that say what to do next."""
+"""Exit codes, and failures with advice on what to do next."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a verb tells the shell; scripts can rely on these numbers."""
+    """The exit codes of the verbs; their numbers do not change, so that scripts can use them."""
 
     OK = 0
     REQUEST_FAILED = 1
@@ -40,7 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Why a verb could not do what was asked, and what to do next."""
+    """Why a verb failed, and what to do next.
+
+    `reason` and `details` come from the problem details of the host's answer, if there was one.
+    """
 
     code: ExitCode
     text: str
--- a/packages/agateferry-cli/agateferry_cli/client/problems.py
+++ b/packages/agateferry-cli/agateferry_cli/client/problems.py
@@ -1,10 +1,10 @@
-"""Turn problem details (RFC 9457) into failures that say what to do next."""
+"""Convert problem details (RFC 9457) to failures with advice on what to do next."""
 
 from typing import Any
 
 from agateferry_cli.client.failures import ExitCode, Failure
 
-CODES_BY_REASON = {
+EXIT_CODES_BY_REASON = {
     "unknown-team": ExitCode.REFUSED,
     "unknown-job": ExitCode.REFUSED,
     "unknown-zone": ExitCode.REFUSED,
@@ -18,7 +18,7 @@
     "unsafe": ExitCode.REFUSED,
 }
 
-CODES_BY_STATUS = {
+EXIT_CODES_BY_STATUS = {
     404: ExitCode.NOT_FOUND,
     409: ExitCode.CONFLICT,
     410: ExitCode.NOT_FOUND,
@@ -32,27 +32,27 @@
 ADVICE = {
     "unknown-team": "List the teams with: agateferry records list team",
     "unknown-job": "List the jobs with: agateferry records list job",
-    "infeasible": "Ask for less, or for a shape that the zone's workers have.",
-    "key-reused": "Use a new key for a new body, or the first body for this key.",
-    "version-conflict": "Read what stands, merge, and put again with its version in --replaces.",
+    "infeasible": "Request fewer resources, or a shape that the zone's workers have.",
+    "key-reused": "Use a new key for a new request, or the same body as before with this key.",
+    "version-conflict": "Read the current version, merge your change and put it with that version in --replaces.",
     "outcome-unknown": "Repeat the same command with the same key.",
     "unknown-request": "Check the id; a request is known to all hosts of its zone.",
-    "forgotten": "The answer was kept for the stated time only.",
-    "unknown-record": "List what there is with: agateferry records list KIND",
-    "no-leader": "The zone elects a leader; try again in a moment.",
-    "zone-unreachable": "The zone of the request is cut off from this host; ask a host there.",
-    "stopping": "Ask another host.",
-    "not-leader": "Name the host that leads, or all hosts of the zone, in --operators.",
-    "no-voter": "Ask a host whose settings have records_voter = true.",
+    "forgotten": "The request ended, and the time for which its answer is kept is over.",
+    "unknown-record": "List the records with: agateferry records list KIND",
+    "no-leader": "The zone is electing a leader; try again in a moment.",
+    "zone-unreachable": "This host cannot reach the zone of the request; call a host in that zone.",
+    "stopping": "Call another host.",
+    "not-leader": "Name the leader, or all hosts of the zone, in --operators.",
+    "no-voter": "Call a host whose settings have records_voter = true.",
     "unsafe": "See the members and the ends of the logs with: agateferry cell status",
 }
 
 
-def failure_of(status: int, body: Any, retry_after: str = "") -> Failure:
-    """Return the failure that a problem's status, body and `Retry-After` header stand for."""
+def failure_from_problem(status: int, body: Any, retry_after: str = "") -> Failure:
+    """Return the failure for the status, body and `Retry-After` header of a host's reply."""
     problem = body if isinstance(body, dict) else {}
     reason = str(problem.get("reason", ""))
-    code = CODES_BY_REASON.get(reason) or CODES_BY_STATUS.get(status)
+    code = EXIT_CODES_BY_REASON.get(reason) or EXIT_CODES_BY_STATUS.get(status)
     text = str(problem.get("detail") or problem.get("title") or f"the host answered {status}")
     return Failure(
         code or (ExitCode.USAGE if status < 500 else ExitCode.INTERNAL),
--- a/packages/agateferry-cli/agateferry_cli/client/views.py
+++ b/packages/agateferry-cli/agateferry_cli/client/views.py
@@ -1,4 +1,4 @@
-"""The answers of hosts, checked and typed as far as tables need them."""
+"""Checked views of the hosts' answers, with the fields that the tables show."""
 
 from typing import Any, TypeVar
 from urllib.parse import quote
@@ -14,13 +14,13 @@
 
 
 class View(BaseModel):
-    """The base of all views; fields that this version does not know are left out."""
+    """The base of all views; fields that this version does not know are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
 class RequestView(View):
-    """A request as it stands."""
+    """The current state of a request."""
 
     id: str
     team: str = ""
@@ -36,7 +36,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Tell whether nothing more will become of the request."""
+        """Return whether the request has ended."""
         return self.state in FINAL_STATES
 
 
@@ -56,7 +56,7 @@
 
 
 class TeamView(View):
-    """A team's share of the zone."""
+    """A team's guarantee and its use of the zone."""
 
     name: str
     guarantee: Any = None
@@ -67,7 +67,7 @@
 
 
 class QueuedView(View):
-    """A request that waits."""
+    """A request that waits in the queue."""
 
     id: str
     team: str = ""
@@ -78,7 +78,7 @@
 
 
 class ExplanationView(View):
-    """Why a request is where it is."""
+    """Why a request has not started, and what would let it start."""
 
     request_id: str
     state: str = ""
@@ -88,7 +88,7 @@
 
 
 class HostRecordsView(View):
-    """The newest revision in force on a host."""
+    """The revision of the records that is in force on a host."""
 
     host: str
     zone: str = ""
@@ -97,7 +97,7 @@
 
 
 class RecordsStatusView(View):
-    """The newest revision and that of each host."""
+    """The newest revision of the records, and the revision in force on each host."""
 
     hosts: tuple[HostRecordsView, ...] = ()
     newest: int = 0
@@ -115,7 +115,7 @@
 
 
 class MemberView(View):
-    """One member of a replicated log; one that does not vote still catches up."""
+    """One member of a replicated log; a member without a vote is still catching up."""
 
     host: str
     incarnation: str = ""
@@ -124,14 +124,14 @@
 
 
 class LogView(View):
-    """The last entry of a host's log; of two logs the one with the higher pair is the newer."""
+    """The last entry of a host's log; the log with the higher pair of both numbers is newer."""
 
     term: int
     index: int
 
 
 class RecordsPlaneView(View):
-    """One host's share in the records plane; `role` is empty on a host that does not vote."""
+    """One host's state in the records plane; `role` is empty on a host without a vote there."""
 
     revision: int | None = None
     role: str = ""
@@ -154,7 +154,7 @@
 
 
 class MembershipChangeView(View):
-    """What a change of members did, or would do, and what may be lost by it."""
+    """What a membership change did or would do, with warnings about data that may be lost."""
 
     asked: str
     zone: str
@@ -167,32 +167,38 @@
     warnings: tuple[str, ...] = ()
 
 
-def view_of(model: type[V], body: Any) -> Result[V, Failure]:
-    """Return a body as a view, or a failure when the body is of another form."""
+def parse_view(model: type[V], body: Any) -> Result[V, Failure]:
+    """Parse a body; the failure names the first field that does not match the view."""
     try:
         return Ok(model.model_validate(body))
     except ValidationError as exc:
-        fault = exc.errors(include_url=False)[0]
-        field = ".".join(str(part) for part in fault["loc"]) or "body"
-        text = f"the host's answer is not understood: {field}: {fault['msg']}"
-        return Error(Failure(ExitCode.INTERNAL, text, "Use --json, or a matching version."))
-
-
-def views_of(model: type[V], body: Any, member: str) -> Result[list[V], Failure]:
-    """Return the list in one member of a body as views."""
-    found = body.get(member, []) if isinstance(body, dict) else []
+        error = exc.errors(include_url=False)[0]
+        field = ".".join(str(part) for part in error["loc"]) or "body"
+        text = f"the host's answer is not understood: {field}: {error['msg']}"
+        return Error(
+            Failure(
+                ExitCode.INTERNAL,
+                text,
+                "Use --json, or the version of agateferry that the host runs.",
+            )
+        )
+
+
+def parse_views(model: type[V], body: Any, key: str) -> Result[list[V], Failure]:
+    """Parse each item of the list that the body has under `key`."""
+    items = body.get(key, []) if isinstance(body, dict) else []
     views: list[V] = []
-    for one in found:
-        view = view_of(model, one)
+    for item in items:
+        view = parse_view(model, item)
         if view.is_error():
             return Error(view.error)
         views.append(view.ok)
     return Ok(views)
 
 
-def request_view(body: Any) -> Result[RequestView, Failure]:
-    """Return the body of a request as a view."""
-    return view_of(RequestView, body)
+def parse_request_view(body: Any) -> Result[RequestView, Failure]:
+    """Parse the body of a request."""
+    return parse_view(RequestView, body)
 
 
 def request_path(request_id: str) -> str:
--- a/packages/agateferry-cli/agateferry_cli/main.py
+++ b/packages/agateferry-cli/agateferry_cli/main.py
@@ -1,4 +1,4 @@
-"""The table of verbs and the entry of the command line."""
+"""The table of verbs and the entry point of the command line."""
 
 import os
 import sys
@@ -56,7 +56,10 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run one verb and return its exit code; a fault never shows a traceback by itself."""
+    """Run one verb and return its exit code.
+
+    An internal error prints a traceback only where `AGATEFERRY_DEBUG` is set.
+    """
     try:
         return int(_dispatch(list(sys.argv[1:] if argv is None else argv)))
     except KeyboardInterrupt:
@@ -66,7 +69,7 @@
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return ExitCode.OK
     except Exception as exc:
-        return _internal(exc)
+        return _report_internal_error(exc)
 
 
 def run() -> None:
@@ -86,9 +89,9 @@
     return code
 
 
-def _internal(exc: Exception) -> int:
+def _report_internal_error(exc: Exception) -> int:
     if os.environ.get(DEBUG_VARIABLE):
         traceback.print_exc()
-    text = f"agateferry: internal fault: {type(exc).__name__}: {exc}"
+    text = f"agateferry: internal error: {type(exc).__name__}: {exc}"
     print(f"{text}\nSet {DEBUG_VARIABLE}=1 for details and report them.", file=sys.stderr)
     return ExitCode.INTERNAL
--- a/packages/agateferry-cli/agateferry_cli/output/__init__.py
+++ b/packages/agateferry-cli/agateferry_cli/output/__init__.py
@@ -1,4 +1,4 @@
-"""What verbs print, for people and for scripts."""
+"""Output of the verbs: tables and progress for people, JSON for scripts."""
 
 from agateferry_cli.output.output import Output
 from agateferry_cli.output.progress import ProgressLine
--- a/packages/agateferry-cli/agateferry_cli/output/output.py
+++ b/packages/agateferry-cli/agateferry_cli/output/output.py
@@ -11,11 +11,11 @@
 
 from agateferry_cli.client.failures import ExitCode, Failure
 
-WIDE_COLUMNS = 200
+NON_TERMINAL_WIDTH = 200
 
 
 class Output:
-    """Write to standard output and standard error in one of the two forms."""
+    """Write to standard output and standard error, as JSON or for people."""
 
     def __init__(self, as_json: bool, out: TextIO | None = None, err: TextIO | None = None) -> None:
         self.as_json = as_json
@@ -23,23 +23,23 @@
         self._err = err or sys.stderr
 
     def json(self, body: Any) -> None:
-        """Write a body as it came from the host."""
+        """Write a host's answer unchanged as JSON."""
         self._out.write(json.dumps(body, indent=2, ensure_ascii=False) + "\n")
 
     def table(self, columns: Sequence[str], rows: Iterable[Sequence[Any]], empty: str) -> None:
-        """Write rows for people, or the text `empty` when there are none."""
+        """Write a table for people, or the text `empty` where there are no rows."""
         table = Table(box=None, pad_edge=False, header_style="bold")
         for column in columns:
             table.add_column(column)
         for row in rows:
-            table.add_row(*(escape(shown(cell)) for cell in row))
+            table.add_row(*(escape(format_cell(cell)) for cell in row))
         self._console().print(table if table.rows else empty)
 
     def fields(self, fields: Mapping[str, Any]) -> None:
-        """Write named values for people, one a line, without those that are None or empty."""
-        kept = {name: shown(value) for name, value in fields.items() if shown(value)}
-        width = max((len(name) for name in kept), default=0)
-        for name, value in kept.items():
+        """Write named values for people, one per line, without those that are None or empty."""
+        texts = {name: format_cell(value) for name, value in fields.items() if format_cell(value)}
+        width = max((len(name) for name in texts), default=0)
+        for name, value in texts.items():
             self._out.write(f"{name:<{width}}  {value}\n")
 
     def line(self, text: str) -> None:
@@ -70,12 +70,12 @@
         return failure.code
 
     def _console(self) -> Console:
-        width = None if self._out.isatty() else WIDE_COLUMNS
+        width = None if self._out.isatty() else NON_TERMINAL_WIDTH
         return Console(file=self._out, width=width, highlight=False)
 
 
-def shown(value: Any) -> str:
-    """Return a value as a table's cell shows it."""
+def format_cell(value: Any) -> str:
+    """Return the text of a value in a table cell."""
     if value is None:
         return ""
     if isinstance(value, bool):
--- a/packages/agateferry-cli/agateferry_cli/tests/test_pages.py
+++ b/packages/agateferry-cli/agateferry_cli/tests/test_pages.py
@@ -71,7 +71,7 @@
 
 
 class LinkTests(testtools.TestCase):
-    def test_links_between_pages_lead_somewhere(self):
+    def test_links_between_pages_have_targets(self):
         pages = [*ROOT.glob("*.md"), *(ROOT / "docs").rglob("*.md")]
         for path in sorted(pages):
             for target in LINK.findall(path.read_text(encoding="utf-8")):
--- a/packages/agateferry-cli/agateferry_cli/tests/test_quickstart.py
+++ b/packages/agateferry-cli/agateferry_cli/tests/test_quickstart.py
@@ -22,15 +22,15 @@
 PAGE = Path(__file__).resolve().parents[4] / "docs" / "quickstart.md"
 PORTS = ("7401", "7402", "7403", "7404", "7501")
 STOP_TIMEOUT_S = 40
-RUNNING_VERBS = ("agateferry ", "echo ")
-CHANGES = "## 2."
+COMMAND_STARTS = ("agateferry ", "echo ")
+COMMANDS_HEADING = "## 2."
 STATUS = "agateferry records status"
 RECORDS = 2
 
 
 @pytest.mark.process
 class QuickstartTests(testtools.TestCase):
-    """Run the page's settings and commands in their order, with free ports in place of its own."""
+    """Run the settings and commands of the quickstart page in their order, on free ports."""
 
     def setUp(self):
         super().setUp()
@@ -55,7 +55,7 @@
         environ.start()
         self.addCleanup(environ.stop)
 
-    def test_the_page_works_as_written(self):
+    def test_the_commands_of_the_page_succeed(self):
         checked = self.verb("agateferry check-config host.toml")
         self.assertEqual(ExitCode.OK, checked[0])
         daemon = self.start("agateferry_service", "host.toml")
@@ -75,9 +75,9 @@
         self.assertEqual(0, daemon.wait(STOP_TIMEOUT_S))
 
     def commands(self):
-        body = self.text[self.text.index(CHANGES) :]
+        body = self.text[self.text.index(COMMANDS_HEADING) :]
         lines = [line.strip() for line in body.splitlines() if line.startswith("    ")]
-        commands = [line for line in lines if line.startswith(RUNNING_VERBS)]
+        commands = [line for line in lines if line.startswith(COMMAND_STARTS)]
         self.assertGreater(len(commands), 10)
         return commands
 
--- a/packages/agateferry-cli/agateferry_cli/verbs/analyze.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/analyze.py
@@ -1,4 +1,4 @@
-"""`agateferry analyze`: show where the time of late jobs went, and whose runs were thrown away."""
+"""`agateferry analyze`: show why jobs were late, and the accelerator time of lost runs."""
 
 from collections import Counter
 from pathlib import Path
@@ -8,13 +8,14 @@
 from agateferry_cli.verbs.logs import read_logs
 
 LATE_COLUMNS = ("queue", "seconds of late jobs", "went into")
-WASTE_COLUMNS = ("queue", "accelerator-seconds", "of runs that were")
+LOST_COLUMNS = ("queue", "accelerator-seconds", "of runs that were")
 
 
 def analyze(*files: Path, json: bool = False) -> int:
-    """Show what jobs beyond their objective waited for, and which runs were thrown away.
+    """Show what the time of late jobs went into, and the accelerator time of runs that were lost.
 
-    Objectives count by the declared lengths of jobs. The time of a job is that of its last subtask.
+    A job is late when it missed its objective, which follows from the declared durations of its
+    steps. The time of a job is that of the subtask that ended last.
 
     :param files: logs of the hosts of the cell, each a file of JSON lines
     :param json: print the tables as JSON
@@ -29,12 +30,12 @@
         return output.failure(found.error)
     jobs = collect_jobs(found.ok).values()
     late = late_seconds(jobs, until_ms=found.ok[-1].at_ms)
-    wasted = lost_accelerator_seconds(jobs)
+    lost = lost_accelerator_seconds(jobs)
     if json:
-        output.json({"jobs": len(jobs), "late": _records(late), "thrown_away": _records(wasted)})
+        output.json({"jobs": len(jobs), "late": _records(late), "thrown_away": _records(lost)})
         return ExitCode.OK
     output.table(LATE_COLUMNS, _rows(late), "No job was late.")
-    output.table(WASTE_COLUMNS, _rows(wasted), "No run was thrown away.")
+    output.table(LOST_COLUMNS, _rows(lost), "No run was lost.")
     return ExitCode.OK
 
 
--- a/packages/agateferry-cli/agateferry_cli/verbs/cancel.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/cancel.py
@@ -1,4 +1,4 @@
-"""`agateferry cancel`: cancel a request and show how far it had got."""
+"""`agateferry cancel`: cancel a request and show the stage that it had reached."""
 
 from expression import Error, Result
 
@@ -6,12 +6,12 @@
 from agateferry_cli.client.client import Call
 from agateferry_cli.client.views import request_path
 from agateferry_cli.output import Output
-from agateferry_cli.verbs.end import keep_ok, show_request
+from agateferry_cli.verbs.request_output import keep_ok, show_request
 from agateferry_cli.verbs.run import run_verb
 
 
 def cancel(request_id: str, *, callers: str = "", json: bool = False) -> int:
-    """Cancel a request and show how far it had got; cancelling again changes nothing.
+    """Cancel a request and show the stage that it had reached; a repeated cancel changes nothing.
 
     :param request_id: id that submit printed
     :param callers: callers' addresses of entry hosts, IP:PORT with commas between
--- a/packages/agateferry-cli/agateferry_cli/verbs/cell.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/cell.py
@@ -1,9 +1,9 @@
-"""`agateferry cell`: show the replicated state of the zones."""
+"""`agateferry cell status`: show the replicated logs of the zones."""
 
 from expression import Result
 
 from agateferry_cli.client import Answer, ExitCode, Failure, Port
-from agateferry_cli.client.views import CellView, LogView, MemberView, RecordsPlaneView, views_of
+from agateferry_cli.client.views import CellView, LogView, MemberView, RecordsPlaneView, parse_views
 from agateferry_cli.output import Output
 from agateferry_cli.verbs.run import run_get
 
@@ -22,11 +22,11 @@
 
 LEADER = "leader"
 NO_DISK = "no disk"
-CATCHES_UP = "catches up"
+CATCHING_UP = "catches up"
 
 
 def status(*, operators: str = "", json: bool = False) -> int:
-    """Show the cell of each zone as every host that answers sees it.
+    """Show the cell of each zone as each of its hosts sees it.
 
     :param operators: operators' addresses of entry hosts, IP:PORT with commas between
     :param json: print the cells as JSON
@@ -34,7 +34,7 @@
     output = Output(json)
 
     def shown(answer: Answer) -> Result[ExitCode, Failure]:
-        views = views_of(CellView, answer.body, "hosts")
+        views = parse_views(CellView, answer.body, "hosts")
         return views.map(lambda found: _show(output, found))
 
     return run_get(Port.OPERATORS, operators, output, "/v1/cells", shown)
@@ -77,5 +77,5 @@
 
 
 def _member(member: MemberView) -> str:
-    marks = ([] if member.disk else [NO_DISK]) + ([] if member.voter else [CATCHES_UP])
-    return f"{member.host} ({', '.join(marks)})" if marks else member.host
+    notes = ([] if member.disk else [NO_DISK]) + ([] if member.voter else [CATCHING_UP])
+    return f"{member.host} ({', '.join(notes)})" if notes else member.host
--- a/packages/agateferry-cli/agateferry_cli/verbs/explain.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/explain.py
@@ -1,15 +1,15 @@
-"""`agateferry explain`: tell why a request waits."""
+"""`agateferry explain`: show why a request waits."""
 
 from expression import Result
 
 from agateferry_cli.client import Answer, ExitCode, Failure, Port
-from agateferry_cli.client.views import ExplanationView, request_path, view_of
+from agateferry_cli.client.views import ExplanationView, parse_view, request_path
 from agateferry_cli.output import Output
 from agateferry_cli.verbs.run import run_get
 
 
 def explain(request_id: str, *, operators: str = "", json: bool = False) -> int:
-    """Tell why a request waits and what would let it start.
+    """Show why a request waits and what would let it start.
 
     :param request_id: id that submit printed
     :param operators: operators' addresses of entry hosts, IP:PORT with commas between
@@ -18,7 +18,7 @@
     output = Output(json)
 
     def shown(answer: Answer) -> Result[ExitCode, Failure]:
-        return view_of(ExplanationView, answer.body).map(lambda view: _show(output, view))
+        return parse_view(ExplanationView, answer.body).map(lambda view: _show(output, view))
 
     path = f"{request_path(request_id)}/explain"
     return run_get(Port.OPERATORS, operators, output, path, shown)
--- a/packages/agateferry-cli/agateferry_cli/verbs/logs.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/logs.py
@@ -1,4 +1,4 @@
-"""The log files that a verb reads."""
+"""Read the log files that a verb names."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -13,12 +13,12 @@
 
 
 def read_logs(files: Sequence[Path]) -> Result[list["LogLine"], Failure]:
-    """Return the lines of several logs, by time."""
+    """Return the lines of all the logs together, ordered by time."""
     # Imported here because it would slow the start of every other verb.
     from agateferry_jobs.history import read_lines
 
     if not files:
-        return Error(Failure(ExitCode.USAGE, "no log is named", "Name one file or more."))
+        return Error(Failure(ExitCode.USAGE, "no log is named", "Name one or more files."))
     texts: list[str] = []
     for file in files:
         if not file.is_file():
@@ -26,6 +26,6 @@
         texts += file.read_text(encoding="utf-8", errors="replace").splitlines()
     lines = read_lines(texts)
     if not lines:
-        advice = "Name what agateferry's processes wrote to standard output."
+        advice = "Name files with what the processes of agateferry wrote to standard output."
         return Error(Failure(ExitCode.USAGE, "the logs hold no log line", advice))
     return Ok(lines)
--- a/packages/agateferry-cli/agateferry_cli/verbs/put.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/put.py
@@ -1,7 +1,8 @@
-"""`agateferry records put`: store a new version of a record in place of the one that was read.
+"""`agateferry records put`: store a new version of a record.
 
-The content comes from a file. The file holds either the content alone, with `--replaces` on the
-command line, or a whole record as `records get --json` prints it, whose version is then replaced.
+The file holds either the content alone, with the version to replace in `--replaces`, or a whole
+record as `records get --json` prints it, whose version is then replaced. The put fails where
+another version is the current one.
 """
 
 import json as json_codec
@@ -13,7 +14,7 @@
 
 from agateferry_cli.client import Client, ExitCode, Failure, Port
 from agateferry_cli.client.client import Call
-from agateferry_cli.client.views import RecordView, view_of
+from agateferry_cli.client.views import RecordView, parse_view
 from agateferry_cli.output import Output
 from agateferry_cli.verbs.records import record_path
 from agateferry_cli.verbs.run import run_verb
@@ -33,18 +34,18 @@
     operators: str = "",
     json: bool = False,
 ) -> int:
-    """Store a new version of a record; a repeated put gets the answer of the first.
+    """Store a new version of a record; a repeated put gets the reply of the first.
 
     :param kind: team, job or config
     :param name: name of the record
     :param file: JSON file with the content, or with a record as get --json prints it; - is stdin
-    :param replaces: version that this one replaces; 0: there must be none yet
+    :param replaces: version that this one replaces; 0 for a new record
     :param schema: form of the content: v1 or v2
     :param operators: operators' addresses of entry hosts, IP:PORT with commas between
     :param json: print the new record as JSON
     """
     output = Output(json)
-    body = _read(file).bind(lambda document: put_body(document, replaces, schema))
+    body = _read_json(file).bind(lambda document: put_body(document, replaces, schema))
     if body.is_error():
         return output.failure(body.error)
 
@@ -55,7 +56,7 @@
         if output.as_json:
             output.json(answer.ok.body)
             return Ok(ExitCode.OK)
-        return view_of(RecordView, answer.ok.body).map(lambda view: _show(output, view))
+        return parse_view(RecordView, answer.ok.body).map(lambda view: _show(output, view))
 
     return run_verb(Port.OPERATORS, operators, output, verb)
 
@@ -63,7 +64,7 @@
 def put_body(
     document: Any, replaces: int | None, schema: str | None
 ) -> Result[dict[str, Any], Failure]:
-    """Return the body of a put from a file's document and the options."""
+    """Return the body of the call from a file's JSON document and the options."""
     if not isinstance(document, dict):
         return Error(Failure(ExitCode.USAGE, "the file does not hold a JSON object"))
     content = document
@@ -77,7 +78,7 @@
     return Ok({"schema": schema or DEFAULT_SCHEMA, "replaces": replaces, "content": content})
 
 
-def _read(file: Path) -> Result[Any, Failure]:
+def _read_json(file: Path) -> Result[Any, Failure]:
     try:
         text = sys.stdin.read() if file == STANDARD_INPUT else file.read_text("utf-8")
         return Ok(json_codec.loads(text))
--- a/packages/agateferry-cli/agateferry_cli/verbs/records.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/records.py
@@ -1,4 +1,4 @@
-"""`agateferry records`: read and write the operators' versioned records."""
+"""`agateferry records get`, `list`, `history` and `status`: read the operators' records."""
 
 from typing import Any
 from urllib.parse import quote
@@ -6,7 +6,7 @@
 from expression import Error, Ok, Result
 
 from agateferry_cli.client import Answer, ExitCode, Failure, Port
-from agateferry_cli.client.views import RecordsStatusView, RecordView, view_of, views_of
+from agateferry_cli.client.views import RecordsStatusView, RecordView, parse_view, parse_views
 from agateferry_cli.output import Output
 from agateferry_cli.verbs.run import run_get
 
@@ -19,18 +19,18 @@
 def get(
     kind: str, name: str, *, schema: str = "v2", operators: str = "", json: bool = False
 ) -> int:
-    """Show the version of a record that stands.
+    """Show the current version of a record.
 
     :param kind: team, job or config
     :param name: name of the record
     :param schema: form of the content: v1 or v2
     :param operators: operators' addresses of entry hosts, IP:PORT with commas between
-    :param json: print the record as JSON, as records put takes it back
+    :param json: print the record as JSON, which records put accepts
     """
     output = Output(json)
 
     def shown(answer: Answer) -> Result[ExitCode, Failure]:
-        return view_of(RecordView, answer.body).map(lambda view: _show_record(output, view))
+        return parse_view(RecordView, answer.body).map(lambda view: _show_record(output, view))
 
     path = f"{record_path(kind, name)}?schema={quote(schema)}"
     return run_get(Port.OPERATORS, operators, output, path, shown)
@@ -52,7 +52,7 @@
 def history(
     kind: str, name: str, *, schema: str = "v2", operators: str = "", json: bool = False
 ) -> int:
-    """List the kept versions of a record, oldest first.
+    """List the versions of a record that are still stored, oldest first.
 
     :param kind: team, job or config
     :param name: name of the record
@@ -74,7 +74,9 @@
     output = Output(json)
 
     def shown(answer: Answer) -> Result[ExitCode, Failure]:
-        return view_of(RecordsStatusView, answer.body).map(lambda view: _show_status(output, view))
+        return parse_view(RecordsStatusView, answer.body).map(
+            lambda view: _show_status(output, view)
+        )
 
     return run_get(Port.OPERATORS, operators, output, "/v1/records-status", shown)
 
@@ -84,9 +86,9 @@
     return f"/v1/records/{quote(kind, safe='')}/{quote(name, safe='')}"
 
 
-def _show_records(operators: str, output: Output, path: str, member: str, empty: str) -> int:
+def _show_records(operators: str, output: Output, path: str, key: str, empty: str) -> int:
     def shown(answer: Answer) -> Result[ExitCode, Failure]:
-        views = views_of(RecordView, answer.body, member)
+        views = parse_views(RecordView, answer.body, key)
         if views.is_error():
             return Error(views.error)
         output.table(COLUMNS, [_row(view) for view in views.ok], empty)
--- a/packages/agateferry-cli/agateferry_cli/verbs/replay.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/replay.py
@@ -1,4 +1,4 @@
-"""`agateferry replay`: replay a recorded trace through the scheduler's core."""
+"""`agateferry replay`: replay a recorded trace through a scheduler in virtual time."""
 
 from dataclasses import asdict
 from pathlib import Path
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from agateferry_scheduling.traces.report import Report
 
-SAMPLES = "samples"
+SAMPLES_FIELD = "samples"
 
 
 def replay(
@@ -21,10 +21,10 @@
     policy: Literal["fair", "baseline"] = "fair",
     json: bool = False,
 ) -> int:
-    """Replay a recorded trace and show what was measured; a broken invariant exits with 1.
+    """Replay a recorded trace and show what was measured; exit with 1 if an invariant broke.
 
     :param trace: file of JSON lines that a daemon recorded or that was written by hand
-    :param policy: scheduler to replay it with
+    :param policy: scheduler that replays it
     :param json: print the report as JSON
     """
     output = Output(json)
@@ -33,7 +33,7 @@
 
 def _replay(trace: Path, policy: str, output: Output) -> Result[ExitCode, Failure]:
     if not trace.is_file():
-        advice = "Name a trace; recording.trace_file in the settings records one."
+        advice = "Name a trace; a host records one where its settings have recording.trace_file."
         return Error(Failure(ExitCode.USAGE, f"{trace} is not a file", advice))
     if trace.stat().st_size == 0:
         return Error(Failure(ExitCode.USAGE, f"{trace} holds no records", "Name another trace."))
@@ -44,16 +44,16 @@
     try:
         report = replay_trace(trace, Policy(policy))
     except ValueError as exc:
-        advice = "Mend the line, or record the trace anew."
+        advice = "Correct the line, or record the trace again."
         return Error(Failure(ExitCode.USAGE, f"{trace} is not a trace: {exc}", advice))
     return Ok(_show(report, output))
 
 
 def _show(report: "Report", output: Output) -> ExitCode:
     if output.as_json:
-        fields = asdict(report)
-        fields.pop(SAMPLES, None)
-        output.json(fields)
+        document = asdict(report)
+        document.pop(SAMPLES_FIELD, None)
+        output.json(document)
     else:
         output.table((report.trace, report.policy), report.rows(), "Nothing was measured.")
     return ExitCode.REQUEST_FAILED if report.broken else ExitCode.OK
--- a/packages/agateferry-cli/agateferry_cli/verbs/end.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/request_output.py
@@ -1,12 +1,12 @@
-"""Print a request and choose the exit code that its state stands for."""
+"""Print a request, wait for its end and return the exit code for its state."""
 
 from expression import Error, Result
 
 from agateferry_cli.client import Answer, Client, ExitCode, Failure, wait_for_end
-from agateferry_cli.client.views import RequestView, request_view
+from agateferry_cli.client.views import RequestView, parse_request_view
 from agateferry_cli.output import Output, ProgressLine
 
-CODES = {
+EXIT_CODES_BY_STATE = {
     "finished": ExitCode.OK,
     "cancelled": ExitCode.CANCELLED,
     "failed": ExitCode.REQUEST_FAILED,
@@ -16,7 +16,7 @@
 
 def show_request(output: Output, answer: Answer) -> Result[RequestView, Failure]:
     """Print a request and return it as a view."""
-    view = request_view(answer.body)
+    view = parse_request_view(answer.body)
     if output.as_json:
         output.json(answer.body)
     elif view.is_ok():
@@ -27,7 +27,7 @@
 async def show_end(
     client: Client, output: Output, request_id: str, timeout_s: int
 ) -> Result[ExitCode, Failure]:
-    """Wait for a request's end with a progress line, print it and return its exit code."""
+    """Wait for the end of a request with a progress line; print it and return its exit code."""
     progress = ProgressLine()
     try:
         answer = await wait_for_end(client, request_id, timeout_s, progress.show)
@@ -39,12 +39,12 @@
 
 
 def end_code(view: RequestView) -> ExitCode:
-    """Return the exit code of a request that was waited for."""
-    return CODES.get(view.state, ExitCode.STILL_RUNNING)
+    """Return the exit code for the state of a request, for verbs that wait for its end."""
+    return EXIT_CODES_BY_STATE.get(view.state, ExitCode.STILL_RUNNING)
 
 
 def keep_ok(view: RequestView) -> ExitCode:
-    """Return OK whatever the state, for verbs that only ask."""
+    """Return OK whatever the state, for verbs that only show a request."""
     return ExitCode.OK
 
 
--- a/packages/agateferry-cli/agateferry_cli/verbs/status.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/status.py
@@ -1,16 +1,16 @@
-"""`agateferry status`: show a request as it stands."""
+"""`agateferry status`: show the current state of a request."""
 
 from expression import Error, Result
 
 from agateferry_cli.client import Client, ExitCode, Failure, Port
 from agateferry_cli.client.views import request_path
 from agateferry_cli.output import Output
-from agateferry_cli.verbs.end import keep_ok, show_request
+from agateferry_cli.verbs.request_output import keep_ok, show_request
 from agateferry_cli.verbs.run import run_verb
 
 
 def status(request_id: str, *, callers: str = "", json: bool = False) -> int:
-    """Show a request as it stands.
+    """Show the current state of a request.
 
     :param request_id: id that submit printed
     :param callers: callers' addresses of entry hosts, IP:PORT with commas between
--- a/packages/agateferry-cli/agateferry_cli/verbs/teams.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/teams.py
@@ -1,9 +1,9 @@
-"""`agateferry teams`: list what each team holds and is promised in a zone."""
+"""`agateferry teams`: list the guarantee and the use of each team in a zone."""
 
 from expression import Result
 
 from agateferry_cli.client import Answer, ExitCode, Failure, Port
-from agateferry_cli.client.views import TeamView, views_of
+from agateferry_cli.client.views import TeamView, parse_views
 from agateferry_cli.output import Output
 from agateferry_cli.verbs.run import run_get
 
@@ -11,7 +11,7 @@
 
 
 def teams(*, operators: str = "", json: bool = False) -> int:
-    """List the teams with what they hold in the asked host's zone.
+    """List the teams, their guarantees and their use of the called host's zone.
 
     :param operators: operators' addresses of entry hosts, IP:PORT with commas between
     :param json: print the teams as JSON
@@ -19,7 +19,7 @@
     output = Output(json)
 
     def shown(answer: Answer) -> Result[ExitCode, Failure]:
-        views = views_of(TeamView, answer.body, "teams")
+        views = parse_views(TeamView, answer.body, "teams")
         return views.map(lambda found: _show(output, found))
 
     return run_get(Port.OPERATORS, operators, output, "/v1/teams", shown)
@@ -37,5 +37,5 @@
         )
         for view in views
     ]
-    output.table(COLUMNS, rows, "There is no team; state one with: agateferry records put team")
+    output.table(COLUMNS, rows, "There is no team; add one with: agateferry records put team")
     return ExitCode.OK
--- a/packages/agateferry-cli/agateferry_cli/verbs/tests/case.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/tests/case.py
@@ -1,4 +1,4 @@
-"""What tests of verbs share: a fake host and captured output."""
+"""Base class of the tests of verbs, with a fake host and captured output."""
 
 import contextlib
 import io
--- a/packages/agateferry-cli/agateferry_cli/verbs/tests/fake_host.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/tests/fake_host.py
@@ -1,4 +1,4 @@
-"""A host that answers calls as told and remembers them."""
+"""A fake host that sends preset answers and records the calls that it received."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class ReceivedCall:
     method: str
     path: str
     query: dict
@@ -20,14 +20,15 @@
 
 
 class FakeHost:
-    """Serve on loopback from a thread; `answers` maps (method, path) to a list of answers.
+    """Serve on a loopback address from a thread.
 
-    An answer is (status, body) or (status, body, headers). The last one of a list is repeated.
+    `answers` maps (method, path) to a list of answers, each (status, body) or (status, body,
+    headers). They are sent in their order, and the last one is repeated. Other paths get 404.
     """
 
     def __init__(self, answers):
         self.answers = answers
-        self.seen = []
+        self.received = []
         self._started = threading.Event()
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._serve, daemon=True)
@@ -66,7 +67,9 @@
         text = await request.text()
         body = json.loads(text) if text else None
         headers = dict(request.headers)
-        self.seen.append(Seen(request.method, request.path, dict(request.query), headers, body))
+        self.received.append(
+            ReceivedCall(request.method, request.path, dict(request.query), headers, body)
+        )
         answers = self.answers.get((request.method, request.path))
         if not answers:
             return web.json_response({"reason": "unknown-request", "detail": "none"}, status=404)
--- a/packages/agateferry-cli/agateferry_cli/verbs/tests/test_lists.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/tests/test_lists.py
@@ -70,7 +70,7 @@
         ]
         self.assertEqual(expected, rows)
 
-    def test_an_answer_of_another_form_is_no_traceback(self):
+    def test_a_malformed_answer_is_reported_without_a_traceback(self):
         host = self.host({("GET", "/v1/workers"): [(200, {"workers": [{"slots": "x"}]})]})
         code = self.run_verb("workers", "--operators", host.address)
         self.assertEqual(ExitCode.INTERNAL, code)
--- a/packages/agateferry-cli/agateferry_cli/verbs/tests/test_local.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/tests/test_local.py
@@ -43,30 +43,30 @@
 
 
 class CheckConfigTests(LocalCase):
-    def test_a_good_file(self):
+    def test_a_valid_file(self):
         file = self.file("a.toml", SETTINGS.format(name="a1"))
         self.assertEqual(ExitCode.OK, self.run_verb("check-config", file))
         self.assertIn("1 settings file(s) are valid", self.out)
 
-    def test_faults_are_listed(self):
+    def test_problems_are_listed(self):
         file = self.file("a.toml", SETTINGS.format(name="a1") + "[limits]\nmax_wait = 4\n")
         self.assertEqual(ExitCode.USAGE, self.run_verb("check-config", file, "--json"))
         (problem,) = self.json_out()["problems"]
         self.assertEqual("limits.max_wait", problem["key"])
 
-    def test_hosts_with_different_peers_are_told(self):
+    def test_hosts_with_different_peers_are_reported(self):
         files = [self.file(f"{n}.toml", SETTINGS.format(name=n)) for n in ("a1", "a2")]
         self.assertEqual(ExitCode.USAGE, self.run_verb("check-config", *files))
         self.assertIn("differ from those in", self.out)
 
 
 class MainTests(LocalCase):
-    def test_a_fault_shows_no_traceback(self):
+    def test_an_internal_error_shows_no_traceback(self):
         with mock.patch.object(main_module, "_dispatch", side_effect=KeyError("x")):
             self.assertEqual(ExitCode.INTERNAL, self.run_verb("status", "x"))
         self.assertNotIn("Traceback", self.err)
 
-    def test_an_interrupt_has_its_code(self):
+    def test_an_interrupt_has_its_own_exit_code(self):
         with mock.patch.object(main_module, "_dispatch", side_effect=KeyboardInterrupt):
             self.assertEqual(ExitCode.INTERRUPTED, self.run_verb("watch", "x"))
 
@@ -98,22 +98,22 @@
         self.assertEqual(("baseline", None), (self.json_out()["policy"], self.json_out()["broken"]))
         self.assertEqual(ExitCode.OK, code)
 
-    def test_a_broken_invariant_is_told_by_the_exit_code(self):
+    def test_a_broken_invariant_sets_the_exit_code(self):
         report = Report("storm", "fair", broken="at 5 ms: x")
         with mock.patch("agateferry_scheduling.traces.replay.replay", return_value=report):
             code = self.run_verb("replay", self.trace, "--json")
         self.assertEqual(ExitCode.REQUEST_FAILED, code)
         self.assertEqual("at 5 ms: x", self.json_out()["broken"])
 
-    def test_a_missing_trace_says_where_traces_come_from(self):
+    def test_a_missing_trace_names_the_setting_that_records_one(self):
         self.assertEqual(ExitCode.USAGE, self.run_verb("replay", self.folder / "none.jsonl"))
         self.assertIn("recording.trace_file", self.err)
 
-    def test_a_file_that_is_no_trace_names_the_line(self):
+    def test_a_file_that_is_not_a_trace_is_a_usage_error(self):
         bad = self.file("bad.jsonl", '{"event": "nothing"}\n')
         self.assertEqual(ExitCode.USAGE, self.run_verb("replay", bad))
         self.assertIn("is not a trace", self.err)
 
-    def test_an_empty_trace_is_no_internal_fault(self):
+    def test_an_empty_trace_is_a_usage_error(self):
         self.assertEqual(ExitCode.USAGE, self.run_verb("replay", self.file("none.jsonl", "")))
         self.assertIn("holds no records", self.err)
--- a/packages/agateferry-cli/agateferry_cli/verbs/tests/test_logs.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/tests/test_logs.py
@@ -17,11 +17,11 @@
         self.assertEqual(ExitCode.OK, self.run_verb("trace", "j", self.log(), "--json"))
         self.assertEqual(7, len(self.json_out()))
 
-    def test_a_job_that_no_line_names(self):
+    def test_a_job_without_log_lines_is_a_usage_error(self):
         self.assertEqual(ExitCode.USAGE, self.run_verb("trace", "x", self.log()))
         self.assertIn("no line is about x", self.err)
 
-    def test_a_file_that_is_no_log(self):
+    def test_a_file_without_log_lines_is_a_usage_error(self):
         file = self.file("other.txt", "hello")
         self.assertEqual(ExitCode.USAGE, self.run_verb("trace", "j", file))
         self.assertIn("no log line", self.err)
--- a/packages/agateferry-cli/agateferry_cli/verbs/tests/test_records.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/tests/test_records.py
@@ -36,10 +36,10 @@
             ExitCode.OK, self.records(host, "put", "job", "barn-count", "--file", file)
         )
         expected = {"schema": "v2", "replaces": 3, "content": {"urgency": "urgent"}}
-        self.assertEqual(expected, host.seen[1].body)
+        self.assertEqual(expected, host.received[1].body)
         self.assertIn("version 3 stands, revision 12", self.out)
 
-    def test_a_conflict_shows_what_stands(self):
+    def test_a_conflict_shows_the_current_version(self):
         conflict = {"reason": "version-conflict", "detail": "version 3 stands", "current": RECORD}
         host = self.host({("PUT", PATH): [(409, conflict)]})
         file = self.file({"urgency": "long"})
@@ -47,18 +47,18 @@
         self.assertEqual(ExitCode.CONFLICT, self.records(host, *argv))
         self.assertIn('what stands: {"kind": "job"', self.err)
 
-    def test_a_file_that_is_no_json_is_named(self):
+    def test_a_file_that_is_not_json_is_a_usage_error(self):
         file = self.file({})
         file.write_text("{", encoding="utf-8")
         host = self.host({})
         argv = ("put", "job", "barn-count", "--file", file, "--replaces", 0)
         self.assertEqual(ExitCode.USAGE, self.records(host, *argv))
-        self.assertEqual([], host.seen)
+        self.assertEqual([], host.received)
 
     def test_the_version_to_replace_must_be_known(self):
         self.assertIn("--replaces", put_body({}, None, None).error.advice)
 
-    def test_lists_and_histories_are_tables(self):
+    def test_lists_and_histories_are_printed_as_tables(self):
         host = self.host(
             {
                 ("GET", "/v1/records/job"): [(200, {"records": [RECORD]})],
@@ -67,11 +67,11 @@
         )
         self.assertEqual(ExitCode.OK, self.records(host, "list", "job", "--schema", "v1"))
         self.assertIn("barn-count", self.out)
-        self.assertEqual({"schema": "v1"}, host.seen[0].query)
+        self.assertEqual({"schema": "v1"}, host.received[0].query)
         self.assertEqual(ExitCode.OK, self.records(host, "history", "job", "barn-count"))
         self.assertRegex(self.out, r"job +barn-count +3 +12 +v2")
 
-    def test_status_tells_hosts_that_are_behind(self):
+    def test_status_shows_hosts_that_are_behind(self):
         hosts = [
             {"host": "a1", "zone": "a", "revision": 12, "reachable": True},
             {"host": "b1", "zone": "b", "revision": 9, "reachable": True},
--- a/packages/agateferry-cli/agateferry_cli/verbs/workers.py
+++ b/packages/agateferry-cli/agateferry_cli/verbs/workers.py
@@ -3,7 +3,7 @@
 from expression import Result
 
 from agateferry_cli.client import Answer, ExitCode, Failure, Port
-from agateferry_cli.client.views import WorkerView, views_of
+from agateferry_cli.client.views import WorkerView, parse_views
 from agateferry_cli.output import Output
 from agateferry_cli.verbs.run import run_get
 
@@ -20,7 +20,7 @@
 
 
 def workers(*, operators: str = "", json: bool = False) -> int:
-    """List the workers of the asked host's zone.
+    """List the workers of the called host's zone.
 
     :param operators: operators' addresses of entry hosts, IP:PORT with commas between
     :param json: print the workers as JSON
@@ -28,7 +28,7 @@
     output = Output(json)
 
     def shown(answer: Answer) -> Result[ExitCode, Failure]:
-        views = views_of(WorkerView, answer.body, "workers")
+        views = parse_views(WorkerView, answer.body, "workers")
         return views.map(lambda found: _show(output, found))
 
     return run_get(Port.OPERATORS, operators, output, "/v1/workers", shown)
