--- a/packages/agateferry-cli/agateferry_cli/client/problems.py
+++ b/packages/agateferry-cli/agateferry_cli/client/problems.py
@@ -40,7 +40,7 @@
     "forgotten": "The request ended, and the time for which its answer is kept is over.",
     "unknown-record": "List the records with: agateferry records list KIND",
     "no-leader": "The zone is electing a leader; try again in a moment.",
-    "zone-unreachable": "This host cannot reach the zone of the request; call a host in that zone.",
+    "zone-unreachable": "This host cannot reach the zone of the request; call a host there.",
     "stopping": "Call another host.",
     "not-leader": "Name the leader, or all hosts of the zone, in --operators.",
     "no-voter": "Call a host whose settings have records_voter = true.",
