--- a/packages/agateferry-scheduling/agateferry_scheduling/measure.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/measure.py
@@ -15,7 +15,7 @@
 from agateferry_scheduling.traces.outcomes import (
     Comparison,
     compare,
-    faults,
+    find_deviations,
     read_outcomes,
     samples,
 )
@@ -60,8 +60,8 @@
         _print_line(format_row(trace.stem, row))
     for line in _rows_without_target(ours, baseline):
         _print_line(line)
-    for fault in faults(outcomes, ours):
-        _print_line(f"fault {trace.stem} {fault}")
+    for deviation in find_deviations(outcomes, ours):
+        _print_line(f"fault {trace.stem} {deviation}")
     if trace.stem == PICTURED_TRACE:
         folder.mkdir(parents=True, exist_ok=True)
         drawing = draw(ours, folder / f"{PICTURED_TRACE}.svg", baseline)
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/__init__.py
@@ -5,7 +5,7 @@
 """
 
 from agateferry_scheduling.traces.drawing import draw
-from agateferry_scheduling.traces.outcomes import compare, faults, read_outcomes, samples
+from agateferry_scheduling.traces.outcomes import compare, find_deviations, read_outcomes, samples
 from agateferry_scheduling.traces.recorder import Recorder
 from agateferry_scheduling.traces.records import TraceError, read_trace, write_trace
 from agateferry_scheduling.traces.replay import Policy, replay
@@ -18,7 +18,7 @@
     "TraceError",
     "compare",
     "draw",
-    "faults",
+    "find_deviations",
     "read_outcomes",
     "read_trace",
     "replay",
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/outcomes.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/outcomes.py
@@ -96,8 +96,11 @@
     return rows
 
 
-def faults(outcomes: Outcomes, ours: Report) -> list[str]:
-    """Return what is not as stated and has no measure: broken invariants and wrong verdicts."""
+def find_deviations(outcomes: Outcomes, ours: Report) -> list[str]:
+    """Return how a replay deviates from the outcomes in what `compare` does not measure.
+
+    These are a broken invariant, other rejections and other quarantined workers.
+    """
     found = []
     if ours.broken is not None:
         found.append(ours.broken)
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/tests/test_samples.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/tests/test_samples.py
@@ -1,7 +1,7 @@
 import testtools
 
 from agateferry_scheduling.traces.makers import MAKERS
-from agateferry_scheduling.traces.outcomes import compare, faults, read_outcomes, samples
+from agateferry_scheduling.traces.outcomes import compare, find_deviations, read_outcomes, samples
 from agateferry_scheduling.traces.records import read_trace
 from agateferry_scheduling.traces.replay import Policy, replay
 
@@ -25,7 +25,7 @@
             for row in compare(outcomes, ours, replay(path, Policy.BASELINE))
             if not row.is_met()
         ]
-        self.assertEqual([], missed + faults(outcomes, ours))
+        self.assertEqual([], missed + find_deviations(outcomes, ours))
 
     def test_board_day(self):
         self.check("board-day")
