--- a/packages/agateferry-cli/agateferry_cli/client/problems.py
+++ b/packages/agateferry-cli/agateferry_cli/client/problems.py
@@ -34,7 +34,7 @@
     "unknown-job": "List the jobs with: agateferry records list job",
     "infeasible": "Request fewer resources, or a shape that the zone's workers have.",
     "key-reused": "Use a new key for a new request, or the same body as before with this key.",
-    "version-conflict": "Read the current version, merge, and put again with its version in --replaces.",
+    "version-conflict": "Read the current version, merge, and put it with --replaces VERSION.",
     "outcome-unknown": "Repeat the same command with the same key.",
     "unknown-request": "Check the id; a request is known to all hosts of its zone.",
     "forgotten": "The request ended, and the time for which its answer is kept is over.",
