--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/__init__.py
@@ -1,7 +1,7 @@
-"""Recorded events, their replay and what is measured of it.
+"""Traces of scheduler events, their replay in virtual time and the measures of a replay.
 
-`replay(path, Policy.FAIR)` returns a `Report`, `Report.table()` is a text for people, and
-`draw(report, path)` a picture.
+`replay(path, Policy.FAIR)` returns a `Report`. `Report.table()` returns it as text, and
+`draw(report, path)` writes it as a picture.
 """
 
 from agateferry_scheduling.traces.drawing import draw
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/cluster.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/cluster.py
@@ -1,7 +1,7 @@
-"""A small fake of a zone's workers, which carries decisions out in virtual time.
+"""Simulated workers of a zone, which execute the scheduler's decisions in virtual time.
 
-It keeps its own books, apart from the scheduler's, and raises `BrokenInvariant` for a decision that
-no real zone could carry out.
+The simulation counts free resources by itself, apart from the scheduler, and raises
+`InvariantError` for a decision that no real zone could execute.
 """
 
 from collections import Counter
@@ -12,25 +12,32 @@
 from agateferry_scheduling.topology.resources import Resources, total_resources
 
 
-class BrokenInvariant(AssertionError):  # noqa: N818
-    """A decision broke what must always hold; the text says how."""
+class InvariantError(AssertionError):
+    """A decision of the scheduler violated an invariant; the text says which."""
 
 
 @dataclass(slots=True)
 class Run:
-    """One run of a request, until it ends, is stopped or its worker is lost."""
+    """One run of a request, until it ends, is stopped or loses a worker.
+
+    `workers` counts the members on each worker. `failing_workers` are those of them that make the
+    run fail. `checkpoint_ms` is when it was told to stop, if it had time for a checkpoint then.
+    """
 
     request: PendingRequest
     workers: Counter[str]
     started_ms: int
-    left_ms: int
-    fails_on: tuple[str, ...] = ()
-    stop_ms: int | None = None
+    remaining_ms: int
+    failing_workers: tuple[str, ...] = ()
+    checkpoint_ms: int | None = None
 
 
 @dataclass
 class Cluster:
-    """The workers that are up, what runs on them, and which are broken."""
+    """The workers that are up, their free resources and the runs on them, by name or request id.
+
+    `broken` workers fail every run that starts there. `leaving` workers accept no new run.
+    """
 
     workers: dict[str, Worker] = field(default_factory=dict)
     free: dict[str, Resources] = field(default_factory=dict)
@@ -44,8 +51,8 @@
         self.free[worker.name] = total_resources(worker)
         self.leaving.discard(worker.name)
 
-    def lose(self, name: str) -> list[str]:
-        """Remove a worker and return the requests that ran there."""
+    def remove_worker(self, name: str) -> list[str]:
+        """Remove a worker and return the ids of the requests that ran there."""
         self.workers.pop(name, None)
         self.free.pop(name, None)
         return [request_id for request_id, run in self.runs.items() if name in run.workers]
@@ -55,60 +62,68 @@
         request: PendingRequest,
         assignments: tuple[Assignment, ...],
         now_ms: int,
-        left_ms: int,
+        remaining_ms: int,
     ) -> Run:
-        """Start a whole gang, and check that it is whole, adjacent and fits."""
+        """Start a run; raise `InvariantError` unless its gang is whole, adjacent and fits."""
         request_id = request.request_id
         if request_id in self.runs:
-            raise BrokenInvariant(f"{request_id} runs already")
+            raise InvariantError(f"{request_id} is already running")
         self._check_whole(request, assignments)
         workers = Counter(assignment.worker for assignment in assignments)
         self._check_adjacent(request, workers)
         for name, members in workers.items():
             self.free[name].add(request.demand, -members)
             if self.free[name].is_negative():
-                raise BrokenInvariant(f"{request_id} takes {name} over its capacity")
-        fails_on = tuple(name for name in workers if name in self.broken)
-        run = Run(request, workers, now_ms, left_ms, fails_on)
+                raise InvariantError(f"{request_id} takes {name} over its capacity")
+        failing_workers = tuple(name for name in workers if name in self.broken)
+        run = Run(request, workers, now_ms, remaining_ms, failing_workers)
         self.runs[request_id] = run
         return run
 
     def end(self, request_id: str) -> Run:
-        """Give a run's share back."""
+        """Remove a run and release its resources."""
         run = self.runs.pop(request_id)
         for name, members in run.workers.items():
             if name in self.free:
                 self.free[name].add(run.request.demand, members)
         return run
 
-    def could_hold_urgent(self, demand: Demand) -> bool:
-        """Tell whether an urgent single task would fit if all other work that may stop did."""
-        fixed: dict[str, Resources] = {name: Resources() for name in self.workers}
+    def could_fit_urgent(self, demand: Demand) -> bool:
+        """Return whether an urgent request would fit on one worker without its preemptible runs.
+
+        Runs of urgent requests count as not preemptible here.
+        """
+        not_preemptible: dict[str, Resources] = {name: Resources() for name in self.workers}
         for run in self.runs.values():
             if run.request.preemptible and run.request.urgency is not Urgency.URGENT:
                 continue
             for name, members in run.workers.items():
-                if name in fixed:
-                    fixed[name].add(run.request.demand, members)
+                if name in not_preemptible:
+                    not_preemptible[name].add(run.request.demand, members)
         return any(
-            total_resources(worker).minus(fixed[name]).fitting_members(demand) >= demand.members
+            total_resources(worker).minus(not_preemptible[name]).fitting_members(demand)
+            >= demand.members
             for name, worker in self.workers.items()
         )
 
     def _check_whole(self, request: PendingRequest, assignments: tuple[Assignment, ...]) -> None:
         numbers = sorted(assignment.member for assignment in assignments)
         if numbers != list(range(request.demand.members)):
-            raise BrokenInvariant(f"{request.request_id} starts with members {numbers}")
-        if any(a.accelerators != request.demand.accelerators for a in assignments):
-            raise BrokenInvariant(f"{request.request_id} gets other accelerators than it asks for")
+            raise InvariantError(f"{request.request_id} starts with members {numbers}")
+        if any(
+            assignment.accelerators != request.demand.accelerators for assignment in assignments
+        ):
+            raise InvariantError(
+                f"{request.request_id} does not get the accelerators of its demand"
+            )
 
     def _check_adjacent(self, request: PendingRequest, workers: Counter[str]) -> None:
         for name in workers:
             if name not in self.workers or name in self.leaving:
-                raise BrokenInvariant(f"{request.request_id} starts on {name}, which is closed")
+                raise InvariantError(f"{request.request_id} starts on {name}, which is closed")
         adjacency = request.demand.adjacency
         racks = {self.workers[name].rack for name in workers}
         if adjacency is Adjacency.WORKER and len(workers) > 1:
-            raise BrokenInvariant(f"{request.request_id} lies on several workers")
+            raise InvariantError(f"{request.request_id} is placed on several workers")
         if adjacency is Adjacency.RACK and len(racks) > 1:
-            raise BrokenInvariant(f"{request.request_id} lies in several racks")
+            raise InvariantError(f"{request.request_id} is placed in several racks")
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/drawing.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/drawing.py
@@ -1,4 +1,4 @@
-"""Draw a replay: utilization, wholly free racks and who waits, over time."""
+"""Draw a replay: utilization, free racks and waiting requests over time."""
 
 from pathlib import Path
 from typing import Any
@@ -12,11 +12,11 @@
 INCHES = (9.0, 7.0)
 
 
-def draw(report: Report, path: Path, beside: Report | None = None) -> Result[Path, str]:
-    """Write a picture as SVG or PNG, by the ending of its path, and return the path.
+def draw(report: Report, path: Path, compared: Report | None = None) -> Result[Path, str]:
+    """Write a picture as SVG or PNG, by the suffix of its path, and return the path.
 
-    A second report is drawn with broken lines. The error says what to install where matplotlib is
-    missing, or why the file could not be written.
+    The report `compared`, if any, is drawn with dashed lines. The error says what to install where
+    matplotlib is missing, or why the file could not be written.
     """
     try:
         from matplotlib import pyplot
@@ -24,10 +24,10 @@
         return Error("pictures need matplotlib: install it with `pip install matplotlib`")
     pyplot.rcParams["svg.hashsalt"] = "agateferry"
     figure, axes = pyplot.subplots(3, 1, sharex=True, figsize=INCHES)
-    _lines(axes, report, "-")
-    if beside is not None:
-        _lines(axes, beside, "--")
-    _label(axes, report.trace)
+    _plot(axes, report, "-")
+    if compared is not None:
+        _plot(axes, compared, "--")
+    _set_labels(axes, report.trace)
     figure.tight_layout()
     is_svg = path.suffix == ".svg"
     try:
@@ -39,18 +39,20 @@
     return Ok(path)
 
 
-def _lines(axes: Any, report: Report, style: str) -> None:
+def _plot(axes: Any, report: Report, style: str) -> None:
     hours = [sample.at_ms / MS_PER_HOUR for sample in report.samples]
-    used = [100.0 * sample.used / max(sample.accelerators, 1) for sample in report.samples]
+    used = [
+        100.0 * sample.accelerators_used / max(sample.accelerators, 1) for sample in report.samples
+    ]
     axes[0].plot(hours, used, style, label=report.policy)
-    racks = [sample.whole_racks for sample in report.samples]
+    racks = [sample.free_racks for sample in report.samples]
     axes[1].step(hours, racks, linestyle=style, where="post", label=report.policy)
     for urgency in Urgency:
         waiting = [sample.waiting.get(urgency, 0) for sample in report.samples]
         axes[2].plot(hours, waiting, style, label=f"{urgency} {report.policy}")
 
 
-def _label(axes: Any, title: str) -> None:
+def _set_labels(axes: Any, title: str) -> None:
     axes[0].set_title(title)
     axes[0].set_ylabel("accelerators used, %")
     axes[1].set_ylabel("racks wholly free")
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/makers.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/makers.py
@@ -1,8 +1,8 @@
-"""Make traces of the two deployments, ordinary and troubled, from a seed.
+"""Generate traces of the two deployments, on ordinary days and under faults or load, from a seed.
 
-`MAKERS["storm"](seed)` returns the records of the trace of that name; equal seeds give equal
-traces. Sizes follow the deployments of today: workers of 8 accelerators and 8 slots, 8 to a rack,
-and 4 teams; one zone of three racks.
+`MAKERS["storm"](seed, 1.0)` returns the records of the trace of that name, with a scale for its
+number of requests; equal seeds give equal traces. Sizes follow the present deployments: workers
+with 8 accelerators and 8 slots, 8 workers in a rack, and 4 teams; the zone has three racks.
 """
 
 import random
@@ -35,8 +35,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """One kind of work: what it asks for, how long it runs and how it may be stopped."""
+class JobKind:
+    """One kind of job: its demands, its range of run times and whether it can be preempted."""
 
     job: str
     teams: tuple[str, ...]
@@ -49,23 +49,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """A zone's machines, teams, weights and kinds of work."""
+    """A deployment's resources of a worker, teams, policy weights and kinds of jobs."""
 
     cores: int
     memory_mb: int
     teams: tuple[Team, ...]
     weights: PolicyWeights
-    small: Kind
-    notice: Kind
-    medium: Kind
-    large: Kind
+    small: JobKind
+    notice: JobKind
+    medium: JobKind
+    large: JobKind
 
 
 def _gang(members: int, accelerators: int, adjacency: Adjacency) -> Demand:
     return Demand(members, accelerators, 2 * accelerators, 4_000 * accelerators, adjacency)
 
 
-CLEARANCE = Kind(
+CLEARANCE = JobKind(
     "clearance-check",
     ("police", "buses", "health"),
     Urgency.URGENT,
@@ -79,7 +79,7 @@
     run_ms=(500, 3_000),
     preemptible=False,
 )
-REFRESH = Kind(
+REFRESH = JobKind(
     "snowfall-refresh",
     ("snow", "police", "buses"),
     Urgency.NORMAL,
@@ -87,7 +87,7 @@
     (20 * MINUTE_MS, 90 * MINUTE_MS),
     checkpointable=True,
 )
-RISK = Kind(
+RISK = JobKind(
     "risk-run",
     ("snow", "health"),
     Urgency.LONG,
@@ -128,35 +128,43 @@
 
 
 @dataclass
-class TraceMaker:
-    """Put a trace together, event by event."""
+class TraceBuilder:
+    """Build a trace event by event.
+
+    Declared run times are wrong by a random factor of at most `max_estimate_error` up or down.
+    """
 
     rng: random.Random
     deployment: Deployment
     records: list[Record] = field(default_factory=list)
-    count: int = 0
-    wrong_size: float = 1.5
+    request_count: int = 0
+    max_estimate_error: float = 1.5
 
-    def begin(self) -> None:
-        """Bring the configuration, the teams and all workers up."""
+    def add_zone(self) -> None:
+        """Add the configuration, the teams and all workers."""
         self.records.append(ConfigSet(0, SchedulingConfig(weights=self.deployment.weights)))
         self.records.append(TeamsSet(0, self.deployment.teams))
         for number in range(RACKS * WORKERS_PER_RACK):
             self.records.append(WorkerUp(0, self.worker(number)))
 
     def worker(self, number: int) -> Worker:
-        """Return a worker of the zone by its number."""
+        """Return the worker of the zone with this number."""
         rack = f"r{number // WORKERS_PER_RACK}"
         cores, memory_mb = self.deployment.cores, self.deployment.memory_mb
         return Worker(f"w{number:02}", "z", rack, 8, cores, memory_mb, 8)
 
-    def submit(self, kind: Kind, at_ms: int, cancel_share: float = 0.0, **changes: object) -> str:
-        """Add a request of a kind, which its caller may cancel later."""
-        self.count += 1
+    def submit(
+        self, kind: JobKind, at_ms: int, cancel_share: float = 0.0, **changes: object
+    ) -> str:
+        """Add a request of a kind, cancelled later with a probability of `cancel_share`.
+
+        `changes` replace fields of the request. Returns its id.
+        """
+        self.request_count += 1
         run_ms = self.rng.randint(*kind.run_ms)
-        declared_ms = int(run_ms * self.wrong_size ** self.rng.uniform(-1.0, 1.0))
+        declared_ms = int(run_ms * self.max_estimate_error ** self.rng.uniform(-1.0, 1.0))
         request = PendingRequest(
-            f"q{self.count:05}",
+            f"q{self.request_count:05}",
             self.rng.choice(kind.teams),
             kind.job,
             kind.urgency,
@@ -173,150 +181,157 @@
             self.records.append(Cancelled(cancel_ms, request.request_id))
         return request.request_id
 
-    def spread(self, kind: Kind, number: int, start_ms: int, end_ms: int, cancel: float) -> None:
-        """Add requests of a kind at chance times."""
+    def submit_at_random_times(
+        self, kind: JobKind, number: int, start_ms: int, end_ms: int, cancel_share: float
+    ) -> None:
+        """Add `number` requests of a kind at random times from `start_ms` to `end_ms`."""
         for _ in range(number):
-            self.submit(kind, self.rng.randint(start_ms, end_ms), cancel)
+            self.submit(kind, self.rng.randint(start_ms, end_ms), cancel_share)
 
-    def done(self) -> list[Record]:
-        """Return the records by time."""
+    def build(self) -> list[Record]:
+        """Return the records ordered by time."""
         return sorted(self.records, key=lambda record: record.at_ms)
 
 
-def _maker(seed: int, deployment: Deployment) -> TraceMaker:
-    maker = TraceMaker(random.Random(seed), deployment)
-    maker.begin()
-    return maker
+def _start_trace(seed: int, deployment: Deployment) -> TraceBuilder:
+    builder = TraceBuilder(random.Random(seed), deployment)
+    builder.add_zone()
+    return builder
 
 
-def _day(maker: TraceMaker, scale: float, hours: int = 8) -> None:
+def _add_day(builder: TraceBuilder, scale: float, hours: int = 8) -> None:
     end_ms = hours * HOUR_MS
-    cfg = maker.deployment
-    maker.spread(cfg.large, int(14 * scale), 0, end_ms, 0.4)
-    maker.spread(cfg.medium, int(70 * scale), 0, end_ms, 0.5)
-    maker.spread(cfg.small, int(110 * scale), 0, end_ms, 0.55)
-    maker.spread(cfg.notice, int(30 * scale), 0, end_ms, 0.0)
+    deployment = builder.deployment
+    builder.submit_at_random_times(deployment.large, int(14 * scale), 0, end_ms, 0.4)
+    builder.submit_at_random_times(deployment.medium, int(70 * scale), 0, end_ms, 0.5)
+    builder.submit_at_random_times(deployment.small, int(110 * scale), 0, end_ms, 0.55)
+    builder.submit_at_random_times(deployment.notice, int(30 * scale), 0, end_ms, 0.0)
 
 
 def board_day(seed: int, scale: float = 1.0) -> list[Record]:
-    """An ordinary day of the Board."""
-    maker = _maker(seed, BOARD)
-    _day(maker, scale)
-    return maker.done()
+    """Generate an ordinary day of the Board."""
+    builder = _start_trace(seed, BOARD)
+    _add_day(builder, scale)
+    return builder.build()
 
 
 def salt_day(seed: int, scale: float = 1.0) -> list[Record]:
-    """An ordinary day of the Saltlagerforbund."""
-    maker = _maker(seed, SALT)
-    _day(maker, scale)
-    return maker.done()
+    """Generate an ordinary day of the Saltlagerforbund."""
+    builder = _start_trace(seed, SALT)
+    _add_day(builder, scale)
+    return builder.build()
 
 
 def small_burst(seed: int, scale: float = 1.0) -> list[Record]:
-    """Many small urgent jobs within a minute, on a zone full of long work."""
-    maker = _maker(seed, BOARD)
-    maker.spread(BOARD.large, int(10 * scale), 0, 20 * MINUTE_MS, 0.0)
-    maker.spread(BOARD.medium, int(40 * scale), 0, HOUR_MS, 0.3)
-    maker.spread(BOARD.small, int(100 * scale), HOUR_MS, HOUR_MS + MINUTE_MS, 0.3)
-    maker.spread(BOARD.notice, int(20 * scale), HOUR_MS, HOUR_MS + MINUTE_MS, 0.0)
-    return maker.done()
+    """Generate many small urgent jobs within a minute, in a zone that is full of long work."""
+    builder = _start_trace(seed, BOARD)
+    builder.submit_at_random_times(BOARD.large, int(10 * scale), 0, 20 * MINUTE_MS, 0.0)
+    builder.submit_at_random_times(BOARD.medium, int(40 * scale), 0, HOUR_MS, 0.3)
+    builder.submit_at_random_times(BOARD.small, int(100 * scale), HOUR_MS, HOUR_MS + MINUTE_MS, 0.3)
+    builder.submit_at_random_times(BOARD.notice, int(20 * scale), HOUR_MS, HOUR_MS + MINUTE_MS, 0.0)
+    return builder.build()
 
 
 def few_large(seed: int, scale: float = 1.0) -> list[Record]:
-    """A few large gangs among a steady stream of small jobs that would starve them."""
-    maker = _maker(seed, SALT)
+    """Generate a few large gangs among a steady stream of small jobs that could starve them."""
+    builder = _start_trace(seed, SALT)
     small = replace(
         SALT.medium, demands=(_gang(1, 1, Adjacency.ANY), _gang(1, 2, Adjacency.WORKER))
     )
-    maker.spread(small, int(240 * scale), 0, 6 * HOUR_MS, 0.1)
-    maker.spread(SALT.large, int(8 * scale), 30 * MINUTE_MS, 5 * HOUR_MS, 0.0)
-    maker.spread(SALT.small, int(40 * scale), 0, 6 * HOUR_MS, 0.2)
-    return maker.done()
+    builder.submit_at_random_times(small, int(240 * scale), 0, 6 * HOUR_MS, 0.1)
+    builder.submit_at_random_times(SALT.large, int(8 * scale), 30 * MINUTE_MS, 5 * HOUR_MS, 0.0)
+    builder.submit_at_random_times(SALT.small, int(40 * scale), 0, 6 * HOUR_MS, 0.2)
+    return builder.build()
 
 
 def wrong_sizes(seed: int, scale: float = 1.0) -> list[Record]:
-    """A day whose declared run times are off by ten times both ways."""
-    maker = _maker(seed, SALT)
-    maker.wrong_size = 10.0
-    _day(maker, scale)
-    return maker.done()
+    """Generate a day whose declared run times are wrong by up to ten times, up or down."""
+    builder = _start_trace(seed, SALT)
+    builder.max_estimate_error = 10.0
+    _add_day(builder, scale)
+    return builder.build()
 
 
 def storm(seed: int, scale: float = 1.0) -> list[Record]:
-    """A storm warning changes: nearly all that waits or runs is cancelled within seconds."""
-    maker = _maker(seed, BOARD)
-    maker.spread(BOARD.large, int(12 * scale), 0, HOUR_MS, 0.0)
-    maker.spread(BOARD.medium, int(80 * scale), 0, HOUR_MS, 0.0)
-    ids = [r.request.request_id for r in maker.records if isinstance(r, Submitted)]
+    """Generate a change of a storm warning, when most requests are cancelled within seconds."""
+    builder = _start_trace(seed, BOARD)
+    builder.submit_at_random_times(BOARD.large, int(12 * scale), 0, HOUR_MS, 0.0)
+    builder.submit_at_random_times(BOARD.medium, int(80 * scale), 0, HOUR_MS, 0.0)
+    ids = [record.request.request_id for record in builder.records if isinstance(record, Submitted)]
     for request_id in ids:
-        if maker.rng.random() < 0.85:
-            at_ms = HOUR_MS + maker.rng.randint(0, 5_000)
-            maker.records.append(Cancelled(at_ms, request_id))
-    maker.spread(BOARD.small, int(60 * scale), HOUR_MS, HOUR_MS + MINUTE_MS, 0.2)
-    maker.spread(BOARD.large, int(6 * scale), HOUR_MS, HOUR_MS + 10 * MINUTE_MS, 0.0)
-    return maker.done()
+        if builder.rng.random() < 0.85:
+            at_ms = HOUR_MS + builder.rng.randint(0, 5_000)
+            builder.records.append(Cancelled(at_ms, request_id))
+    builder.submit_at_random_times(BOARD.small, int(60 * scale), HOUR_MS, HOUR_MS + MINUTE_MS, 0.2)
+    builder.submit_at_random_times(
+        BOARD.large, int(6 * scale), HOUR_MS, HOUR_MS + 10 * MINUTE_MS, 0.0
+    )
+    return builder.build()
 
 
 def bad_worker(seed: int, scale: float = 1.0) -> list[Record]:
-    """One worker fails all that it starts, and one job fails wherever it runs."""
-    maker = _maker(seed, BOARD)
-    maker.records.append(WorkerBroke(0, "w03"))
-    _day(maker, 0.6 * scale, hours=4)
+    """Generate a worker that fails every run, and a job that fails on every worker."""
+    builder = _start_trace(seed, BOARD)
+    builder.records.append(WorkerBroke(0, "w03"))
+    _add_day(builder, 0.6 * scale, hours=4)
     for number in range(6):
-        maker.submit(BOARD.medium, HOUR_MS + number * MINUTE_MS, job="broken-model", team="snow")
-    maker.records = [
+        builder.submit(BOARD.medium, HOUR_MS + number * MINUTE_MS, job="broken-model", team="snow")
+    builder.records = [
         (
-            replace(r, fails=True)
-            if isinstance(r, Submitted) and r.request.job == "broken-model"
-            else r
+            replace(record, fails=True)
+            if isinstance(record, Submitted) and record.request.job == "broken-model"
+            else record
         )
-        for r in maker.records
+        for record in builder.records
     ]
-    return maker.done()
+    return builder.build()
 
 
 def rack_lost(seed: int, scale: float = 1.0) -> list[Record]:
-    """A rack goes with all that it runs, and comes back after an hour."""
-    maker = _maker(seed, SALT)
-    _day(maker, 0.8 * scale, hours=6)
+    """Generate the loss of a rack with all its runs; its workers join again after an hour."""
+    builder = _start_trace(seed, SALT)
+    _add_day(builder, 0.8 * scale, hours=6)
     for number in range(WORKERS_PER_RACK):
-        maker.records.append(WorkerDown(2 * HOUR_MS + number, f"w{number:02}"))
-        maker.records.append(WorkerUp(3 * HOUR_MS + number * 1_000, maker.worker(number)))
-    return maker.done()
+        builder.records.append(WorkerDown(2 * HOUR_MS + number, f"w{number:02}"))
+        builder.records.append(WorkerUp(3 * HOUR_MS + number * 1_000, builder.worker(number)))
+    return builder.build()
 
 
 def lagging_usage(seed: int, scale: float = 1.0) -> list[Record]:
-    """Workers report usage that is a minute old, and empty, while a burst comes."""
-    maker = _maker(seed, BOARD)
+    """Generate a burst of requests while workers report usage that is zero and a minute old."""
+    builder = _start_trace(seed, BOARD)
     for number in range(RACKS * WORKERS_PER_RACK):
         for minute in range(1, 4):
             at_ms = minute * MINUTE_MS + number
-            maker.records.append(UsageSeen(at_ms, f"w{number:02}", at_ms - MINUTE_MS, 0, 0))
-    maker.spread(BOARD.medium, int(60 * scale), MINUTE_MS, 4 * MINUTE_MS, 0.1)
-    maker.spread(BOARD.small, int(60 * scale), MINUTE_MS, 4 * MINUTE_MS, 0.1)
-    return maker.done()
+            builder.records.append(UsageSeen(at_ms, f"w{number:02}", at_ms - MINUTE_MS, 0, 0))
+    builder.submit_at_random_times(BOARD.medium, int(60 * scale), MINUTE_MS, 4 * MINUTE_MS, 0.1)
+    builder.submit_at_random_times(BOARD.small, int(60 * scale), MINUTE_MS, 4 * MINUTE_MS, 0.1)
+    return builder.build()
 
 
 def all_reclaim(seed: int, scale: float = 1.0) -> list[Record]:
-    """Borrowers fill the zone; then every team asks for all its guaranteed shapes at once."""
-    maker = _maker(seed, SALT)
+    """Generate borrowed work that fills the zone, until the other teams reclaim their guarantees.
+
+    Two teams borrow; after an hour the other two request all their guaranteed shapes at once.
+    """
+    builder = _start_trace(seed, SALT)
     demands = (_gang(1, 2, Adjacency.WORKER), _gang(1, 4, Adjacency.WORKER))
     borrowed = replace(
         SALT.medium, teams=("north", "islands"), demands=demands, run_ms=(HOUR_MS, 4 * HOUR_MS)
     )
-    maker.spread(borrowed, int(90 * scale), 0, 20 * MINUTE_MS, 0.0)
+    builder.submit_at_random_times(borrowed, int(90 * scale), 0, 20 * MINUTE_MS, 0.0)
     worker = replace(SALT.medium, demands=(_gang(1, 8, Adjacency.WORKER),))
     forecast = replace(SALT.large, demands=(_gang(4, 8, Adjacency.RACK),))
     for team in ("south", "south"):
-        maker.submit(worker, HOUR_MS, team=team)
+        builder.submit(worker, HOUR_MS, team=team)
     for _ in range(2):
-        maker.submit(forecast, HOUR_MS, team="forecast")
-    return maker.done()
+        builder.submit(forecast, HOUR_MS, team="forecast")
+    return builder.build()
 
 
 def never_runnable(seed: int, scale: float = 1.0) -> list[Record]:
-    """Jobs that no machine of the zone can ever run, among others that can."""
-    maker = _maker(seed, BOARD)
+    """Generate jobs that no worker of the zone can ever run, among others that can run."""
+    builder = _start_trace(seed, BOARD)
     impossible = (
         Demand(1, 9, 1, 256),
         Demand(1, 1, 33, 256),
@@ -325,15 +340,15 @@
         Demand(193, 1, 1, 256),
     )
     kind = replace(BOARD.medium, demands=impossible, job="too-large")
-    maker.spread(kind, int(20 * scale), 0, HOUR_MS, 0.0)
-    maker.spread(BOARD.medium, int(20 * scale), 0, HOUR_MS, 0.2)
-    maker.spread(BOARD.small, int(30 * scale), 0, HOUR_MS, 0.2)
-    return maker.done()
+    builder.submit_at_random_times(kind, int(20 * scale), 0, HOUR_MS, 0.0)
+    builder.submit_at_random_times(BOARD.medium, int(20 * scale), 0, HOUR_MS, 0.2)
+    builder.submit_at_random_times(BOARD.small, int(30 * scale), 0, HOUR_MS, 0.2)
+    return builder.build()
 
 
-Maker = Callable[[int, float], list[Record]]
+TraceMaker = Callable[[int, float], list[Record]]
 
-MAKERS: dict[str, Maker] = {
+MAKERS: dict[str, TraceMaker] = {
     "board-day": board_day,
     "salt-day": salt_day,
     "small-burst": small_burst,
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/meter.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/meter.py
@@ -1,4 +1,4 @@
-"""Measure a replay while it runs."""
+"""Collect the measures of a replay while it runs."""
 
 import math
 from collections import Counter
@@ -13,164 +13,185 @@
 )
 from agateferry_scheduling.topology.resources import proportional_resources
 from agateferry_scheduling.traces.cluster import Cluster, Run
-from agateferry_scheduling.traces.report import Report, Sample, spread
+from agateferry_scheduling.traces.report import Report, Sample, percentiles_of
 
-SAMPLE_MS = 60_000
-GROUPS = (8, 32)
+SAMPLE_INTERVAL_MS = 60_000
+GROUP_SIZES = (8, 32)  # accelerators on one worker and in one rack
 SMALL_MEMBERS = 1
-SLOWDOWN_FLOOR_MS = 10_000
+MIN_SLOWDOWN_RUN_MS = 10_000  # shorter runs count as this long in the slowdown
 
 
 @dataclass(slots=True)
-class Life:
-    """What became of a request."""
+class TrackedRequest:
+    """A request of the replay and its state.
+
+    `run_ms` is its real run time. `waiting_since_ms` is None from a start until it is requeued.
+    `is_guaranteed` tells whether the guarantee of its team covered it when it was queued.
+    """
 
     request: PendingRequest
     run_ms: int
     waiting_since_ms: int | None
-    entitled: bool = False
-    started: bool = False
-    done: bool = False
+    is_guaranteed: bool = False
+    has_started: bool = False
+    has_ended: bool = False
 
 
 @dataclass
 class Meter:
-    """Collect times and integrals; `report` sums them up.
+    """Collect times and integrals over time; `report` computes the measures from them.
 
-    Integrals run up to `until_ms`, the last line of the trace, so that they span the same time
-    under each policy.
+    Integrals run up to `until_ms`, the last line of the trace, so that they cover the same time
+    under each policy. Lists of times are in milliseconds. Work, lost work and the integrals are in
+    accelerator-milliseconds; a member without accelerators counts as one accelerator in work.
+    `urgent_waits` has the wait of each urgent start, and whether it could have started in time.
     """
 
     cluster: Cluster
     until_ms: int
-    lives: dict[str, Life] = field(default_factory=dict)
+    requests: dict[str, TrackedRequest] = field(default_factory=dict)
     waiting: dict[str, None] = field(default_factory=dict)
-    completion: dict[Urgency, list[int]] = field(
+    completion_ms: dict[Urgency, list[int]] = field(
         default_factory=lambda: {urgency: [] for urgency in Urgency}
     )
-    small_urgent: list[int] = field(default_factory=list)
-    small_urgent_runs: list[int] = field(default_factory=list)
+    small_urgent_ms: list[int] = field(default_factory=list)
+    small_urgent_run_ms: list[int] = field(default_factory=list)
     slowdowns: list[float] = field(default_factory=list)
-    reclaims: list[int] = field(default_factory=list)
+    reclaim_waits_ms: list[int] = field(default_factory=list)
     urgent_waits: list[tuple[int, bool]] = field(default_factory=list)
-    large_wait_ms: int = 0
+    longest_large_wait_ms: int = 0
     rejected: Counter[str] = field(default_factory=Counter)
     finished: int = 0
     cancelled: int = 0
     preemptions: int = 0
-    work_ms: int = 0
-    lost_ms: int = 0
+    work_accelerator_ms: int = 0
+    lost_accelerator_ms: int = 0
     samples: list[Sample] = field(default_factory=list)
-    _last_ms: int = 0
-    _stranded_ms: float = 0.0
-    _used_ms: int = 0
-    _total_ms: int = 0
+    _integrated_until_ms: int = 0
+    _stranded_accelerator_ms: float = 0.0
+    _used_accelerator_ms: int = 0
+    _total_accelerator_ms: int = 0
 
     def advance(self, now_ms: int) -> None:
-        """Add the time since the last change to the integrals."""
-        span_ms = min(now_ms, self.until_ms) - self._last_ms
-        self._last_ms = max(min(now_ms, self.until_ms), self._last_ms)
-        if span_ms <= 0 or not self.cluster.workers:
+        """Add the time since the last call to the integrals, and take a sample when one is due."""
+        elapsed_ms = min(now_ms, self.until_ms) - self._integrated_until_ms
+        self._integrated_until_ms = max(min(now_ms, self.until_ms), self._integrated_until_ms)
+        if elapsed_ms <= 0 or not self.cluster.workers:
             return
         total = sum(worker.accelerators for worker in self.cluster.workers.values())
-        free = sum(amount.accelerators for amount in self.cluster.free.values())
-        self._total_ms += total * span_ms
-        self._used_ms += (total - free) * span_ms
-        self._stranded_ms += self._stranded(free) * span_ms
-        if not self.samples or now_ms - self.samples[-1].at_ms >= SAMPLE_MS:
+        free = sum(resources.accelerators for resources in self.cluster.free.values())
+        self._total_accelerator_ms += total * elapsed_ms
+        self._used_accelerator_ms += (total - free) * elapsed_ms
+        self._stranded_accelerator_ms += self._stranded(free) * elapsed_ms
+        if not self.samples or now_ms - self.samples[-1].at_ms >= SAMPLE_INTERVAL_MS:
             self.samples.append(self._sample(now_ms, total, total - free))
 
-    def queued(
+    def record_queued(
         self, request: PendingRequest, run_ms: int, teams: dict[str, Team], now_ms: int
     ) -> None:
-        """Note a new request, and whether its team's guarantee covers it."""
-        life = Life(request, run_ms, now_ms)
-        life.entitled = self._is_entitled(request, teams.get(request.team))
-        self.lives[request.request_id] = life
+        """Record a new request, and whether its team's guarantee covers it."""
+        tracked = TrackedRequest(request, run_ms, now_ms)
+        tracked.is_guaranteed = self._is_guaranteed(request, teams.get(request.team))
+        self.requests[request.request_id] = tracked
         self.waiting[request.request_id] = None
 
-    def started(self, request: PendingRequest, config: SchedulingConfig, now_ms: int) -> None:
-        """Note a start and how long the request waited for it."""
-        life = self.lives[request.request_id]
-        since_ms = request.submitted_ms if life.waiting_since_ms is None else life.waiting_since_ms
+    def record_start(self, request: PendingRequest, config: SchedulingConfig, now_ms: int) -> None:
+        """Record a start and how long the request waited for it."""
+        tracked = self.requests[request.request_id]
+        since_ms = (
+            request.submitted_ms if tracked.waiting_since_ms is None else tracked.waiting_since_ms
+        )
         waited_ms = now_ms - since_ms
         self.waiting.pop(request.request_id, None)
-        self._note_wait(life, waited_ms, config)
-        life.started = True
-        life.waiting_since_ms = None
+        self._record_wait(tracked, waited_ms, config)
+        tracked.has_started = True
+        tracked.waiting_since_ms = None
 
-    def stopped(self, run: Run, kept_ms: int, now_ms: int) -> None:
-        """Note a preemption; the request waits again."""
+    def record_preemption(self, run: Run, kept_ms: int, now_ms: int) -> None:
+        """Record a preemption, after which the request waits again.
+
+        `kept_ms` is the run time that a checkpoint saved; the rest of the run is lost work.
+        """
         request = run.request
         run_ms = now_ms - run.started_ms
-        width = request.demand.members * max(request.demand.accelerators, 1)
+        accelerators = request.demand.members * max(request.demand.accelerators, 1)
         self.preemptions += 1
-        self.work_ms += run_ms * width
-        self.lost_ms += (run_ms - kept_ms) * width
-        self.requeued(request.request_id, now_ms)
+        self.work_accelerator_ms += run_ms * accelerators
+        self.lost_accelerator_ms += (run_ms - kept_ms) * accelerators
+        self.record_requeue(request.request_id, now_ms)
 
-    def requeued(self, request_id: str, now_ms: int) -> None:
-        """Note that a request waits again."""
-        self.lives[request_id].waiting_since_ms = now_ms
+    def record_requeue(self, request_id: str, now_ms: int) -> None:
+        """Record that a request waits again."""
+        self.requests[request_id].waiting_since_ms = now_ms
         self.waiting[request_id] = None
 
-    def ended(self, run: Run, finished: bool, now_ms: int) -> None:
-        """Note the end of a run; only finished requests have a completion time."""
+    def record_end(self, run: Run, finished: bool, now_ms: int) -> None:
+        """Record the end of a request; only a finished one has a completion time."""
         request = run.request
-        life = self.lives[request.request_id]
-        width = request.demand.members * max(request.demand.accelerators, 1)
-        self.work_ms += (now_ms - run.started_ms) * width
-        life.done = True
+        tracked = self.requests[request.request_id]
+        accelerators = request.demand.members * max(request.demand.accelerators, 1)
+        self.work_accelerator_ms += (now_ms - run.started_ms) * accelerators
+        tracked.has_ended = True
         if finished:
             self.finished += 1
-            self._complete(life, now_ms)
+            self._record_completion(tracked, now_ms)
 
-    def cancelled_at(self, request_id: str, config: SchedulingConfig, now_ms: int) -> None:
-        """Note a cancellation; a wait that had gone past its bound still counts."""
-        life = self.lives[request_id]
+    def record_cancellation(self, request_id: str, config: SchedulingConfig, now_ms: int) -> None:
+        """Record a cancellation; the wait counts only where it had already passed a bound."""
+        tracked = self.requests[request_id]
         self.cancelled += 1
-        if life.waiting_since_ms is not None:
-            waited_ms = now_ms - life.waiting_since_ms
+        if tracked.waiting_since_ms is not None:
+            waited_ms = now_ms - tracked.waiting_since_ms
             if waited_ms > min(config.urgent_start_ms, config.reclaim_ms):
-                self._note_wait(life, waited_ms, config)
-        self._close(life)
+                self._record_wait(tracked, waited_ms, config)
+        self._mark_ended(tracked)
 
-    def refused(self, request_id: str, reason: str) -> None:
-        """Note a rejection."""
+    def record_rejection(self, request_id: str, reason: str) -> None:
+        """Record a rejection."""
         self.rejected[reason] += 1
-        self._close(self.lives[request_id])
+        self._mark_ended(self.requests[request_id])
 
-    def _close(self, life: Life) -> None:
-        self.waiting.pop(life.request.request_id, None)
-        life.done = True
+    def _mark_ended(self, tracked: TrackedRequest) -> None:
+        self.waiting.pop(tracked.request.request_id, None)
+        tracked.has_ended = True
 
     def report(self, trace: str, policy: str, config: SchedulingConfig, end_ms: int) -> Report:
-        """Sum up; requests that did not finish count with the time until the end."""
-        unfinished = [life for life in self.lives.values() if not life.done]
-        for life in unfinished:
-            self._complete(life, end_ms)
-            if life.waiting_since_ms is not None:
-                self._note_wait(life, end_ms - life.waiting_since_ms, config)
-        late = [ok for waited_ms, ok in self.urgent_waits if waited_ms > config.urgent_start_ms]
-        mean_log = sum(math.log(s) for s in self.slowdowns) / max(len(self.slowdowns), 1)
+        """Return the measures; a request that has not ended counts with its time until `end_ms`."""
+        unfinished = [tracked for tracked in self.requests.values() if not tracked.has_ended]
+        for tracked in unfinished:
+            self._record_completion(tracked, end_ms)
+            if tracked.waiting_since_ms is not None:
+                self._record_wait(tracked, end_ms - tracked.waiting_since_ms, config)
+        late = [
+            was_possible
+            for waited_ms, was_possible in self.urgent_waits
+            if waited_ms > config.urgent_start_ms
+        ]
+        mean_log = sum(math.log(slowdown) for slowdown in self.slowdowns) / max(
+            len(self.slowdowns), 1
+        )
         return Report(
             trace,
             policy,
-            completion={urgency: spread(times) for urgency, times in self.completion.items()},
-            small_urgent=spread(self.small_urgent),
-            small_urgent_run=spread(self.small_urgent_runs),
+            completion={
+                urgency: percentiles_of(times) for urgency, times in self.completion_ms.items()
+            },
+            small_urgent=percentiles_of(self.small_urgent_ms),
+            small_urgent_run=percentiles_of(self.small_urgent_run_ms),
             mean_slowdown=math.exp(mean_log),
-            fragmentation_pct=100.0 * self._stranded_ms / max(self._total_ms, 1),
-            utilization_pct=100.0 * self._used_ms / max(self._total_ms, 1),
-            reclaims=len(self.reclaims),
-            reclaim_longest_ms=max(self.reclaims, default=0),
-            reclaims_late=sum(waited_ms > config.reclaim_ms for waited_ms in self.reclaims),
-            large_longest_wait_ms=self.large_wait_ms,
+            fragmentation_pct=100.0
+            * self._stranded_accelerator_ms
+            / max(self._total_accelerator_ms, 1),
+            utilization_pct=100.0 * self._used_accelerator_ms / max(self._total_accelerator_ms, 1),
+            reclaims=len(self.reclaim_waits_ms),
+            reclaim_longest_ms=max(self.reclaim_waits_ms, default=0),
+            reclaims_late=sum(waited_ms > config.reclaim_ms for waited_ms in self.reclaim_waits_ms),
+            large_longest_wait_ms=self.longest_large_wait_ms,
             urgent_starts=len(self.urgent_waits),
             urgent_late=len(late),
             urgent_late_possible=sum(late),
-            lost_pct=100.0 * self.lost_ms / max(self.work_ms, 1),
-            submitted=len(self.lives),
+            lost_pct=100.0 * self.lost_accelerator_ms / max(self.work_accelerator_ms, 1),
+            submitted=len(self.requests),
             finished=self.finished,
             cancelled=self.cancelled,
             rejected=dict(self.rejected),
@@ -179,39 +200,48 @@
             samples=self.samples,
         )
 
-    def _note_wait(self, life: Life, waited_ms: int, config: SchedulingConfig) -> None:
-        request = life.request
-        if life.entitled and not life.started:
-            self.reclaims.append(waited_ms)
+    def _record_wait(
+        self, tracked: TrackedRequest, waited_ms: int, config: SchedulingConfig
+    ) -> None:
+        request = tracked.request
+        if tracked.is_guaranteed and not tracked.has_started:
+            self.reclaim_waits_ms.append(waited_ms)
         if is_large(request):
-            self.large_wait_ms = max(self.large_wait_ms, waited_ms)
+            self.longest_large_wait_ms = max(self.longest_large_wait_ms, waited_ms)
         if request.urgency is Urgency.URGENT:
-            possible = True
+            was_possible = True
             if waited_ms > config.urgent_start_ms:
-                possible = self.cluster.could_hold_urgent(request.demand)
-            self.urgent_waits.append((waited_ms, possible))
+                was_possible = self.cluster.could_fit_urgent(request.demand)
+            self.urgent_waits.append((waited_ms, was_possible))
 
-    def _complete(self, life: Life, now_ms: int) -> None:
-        request = life.request
-        took_ms = now_ms - request.submitted_ms
-        self.completion[request.urgency].append(took_ms)
+    def _record_completion(self, tracked: TrackedRequest, now_ms: int) -> None:
+        request = tracked.request
+        completion_ms = now_ms - request.submitted_ms
+        self.completion_ms[request.urgency].append(completion_ms)
         if request.urgency is Urgency.URGENT and request.demand.members == SMALL_MEMBERS:
-            self.small_urgent.append(took_ms)
-            self.small_urgent_runs.append(life.run_ms)
-        floor_ms = max(life.run_ms, SLOWDOWN_FLOOR_MS)
-        self.slowdowns.append(max(took_ms / floor_ms, 1.0))
+            self.small_urgent_ms.append(completion_ms)
+            self.small_urgent_run_ms.append(tracked.run_ms)
+        reference_run_ms = max(tracked.run_ms, MIN_SLOWDOWN_RUN_MS)
+        self.slowdowns.append(max(completion_ms / reference_run_ms, 1.0))
+
+    def _is_guaranteed(self, request: PendingRequest, team: Team | None) -> bool:
+        """Return whether the team's guarantee covers a new request.
 
-    def _is_entitled(self, request: PendingRequest, team: Team | None) -> bool:
-        """Judge by whole groups: each request of the team uses up as many as it could break."""
+        Guarantees are counted in groups of the team's largest shape. Each waiting or running
+        request of the team takes as many whole groups as its accelerators need, and at least one.
+        """
         demand = request.demand
         if team is None or not demand.accelerators or not team.guarantee:
             return False
-        if not self._has_ordinary_parts(demand):
+        if not self._is_proportional(demand):
             return False
-        shape = max(team.guarantee, key=lambda s: s.accelerators)
+        shape = max(team.guarantee, key=lambda shape: shape.accelerators)
         wanted = demand.members * demand.accelerators
-        strict = {Adjacency.WORKER: 0, Adjacency.RACK: 1, Adjacency.ANY: 2}
-        if wanted > shape.accelerators or strict[shape.adjacency] > strict[demand.adjacency]:
+        adjacency_order = {Adjacency.WORKER: 0, Adjacency.RACK: 1, Adjacency.ANY: 2}
+        if (
+            wanted > shape.accelerators
+            or adjacency_order[shape.adjacency] > adjacency_order[demand.adjacency]
+        ):
             return False
         groups = sum(s.count for s in team.guarantee if s.accelerators == shape.accelerators)
         active = 1 + sum(
@@ -220,8 +250,11 @@
         )
         return active <= groups
 
-    def _has_ordinary_parts(self, demand: Demand) -> bool:
-        """Tell whether processor and memory stay within what comes with the accelerators."""
+    def _is_proportional(self, demand: Demand) -> bool:
+        """Return whether cores and memory are within the proportional part of the accelerators.
+
+        Every worker with enough accelerators must have that much for them.
+        """
         parts = [
             proportional_resources(worker, demand.accelerators)
             for worker in self.cluster.workers.values()
@@ -233,27 +266,40 @@
 
     def _active(self, team: str) -> list[PendingRequest]:
         ids = [*self.cluster.runs, *self.waiting]
-        requests = [self.lives[request_id].request for request_id in ids]
+        requests = [self.requests[request_id].request for request_id in ids]
         return [r for r in requests if r.team == team]
 
     def _stranded(self, free: int) -> float:
-        """Return the free accelerators that no group can use, though compacted they would serve."""
-        racks: Counter[str] = Counter()
-        workers = 0
+        """Return the free accelerators that are unusable for groups, as a mean over group sizes.
+
+        For each size, these are the accelerators in groups that would fit if all free ones were
+        together, less those in groups that fit now: on one worker for the first of `GROUP_SIZES`,
+        in one rack for the second.
+        """
+        free_by_rack: Counter[str] = Counter()
+        on_workers = 0
         for name, worker in self.cluster.workers.items():
-            left = self.cluster.free[name]
-            per_slot = min(left.slots, left.accelerators)
-            racks[worker.rack] += per_slot
-            workers += per_slot // GROUPS[0] * GROUPS[0]
-        spread_out = [workers, sum(left // GROUPS[1] * GROUPS[1] for left in racks.values())]
-        lost = [
-            free // size * size - usable for size, usable in zip(GROUPS, spread_out, strict=True)
+            free_here = self.cluster.free[name]
+            usable = min(free_here.slots, free_here.accelerators)
+            free_by_rack[worker.rack] += usable
+            on_workers += usable // GROUP_SIZES[0] * GROUP_SIZES[0]
+        usable_by_size = [
+            on_workers,
+            sum(
+                free_here // GROUP_SIZES[1] * GROUP_SIZES[1] for free_here in free_by_rack.values()
+            ),
+        ]
+        stranded = [
+            free // size * size - usable
+            for size, usable in zip(GROUP_SIZES, usable_by_size, strict=True)
         ]
-        return sum(max(part, 0) for part in lost) / len(GROUPS)
+        return sum(max(part, 0) for part in stranded) / len(GROUP_SIZES)
 
     def _sample(self, now_ms: int, total: int, used: int) -> Sample:
-        names = {name for run in self.cluster.runs.values() for name in run.workers}
-        busy = {w.rack for w in self.cluster.workers.values() if w.name in names}
+        busy_workers = {name for run in self.cluster.runs.values() for name in run.workers}
+        busy_racks = {
+            worker.rack for worker in self.cluster.workers.values() if worker.name in busy_workers
+        }
         racks = {worker.rack for worker in self.cluster.workers.values()}
-        waiting = Counter(self.lives[request_id].request.urgency for request_id in self.waiting)
-        return Sample(now_ms, total, used, len(racks - busy), dict(waiting))
+        waiting = Counter(self.requests[request_id].request.urgency for request_id in self.waiting)
+        return Sample(now_ms, total, used, len(racks - busy_racks), dict(waiting))
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/outcomes.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/outcomes.py
@@ -1,6 +1,7 @@
-"""The outcomes stated beside a trace, and how a replay compares with them.
+"""The expected outcomes of a trace's replay, and the comparison of a replay with them.
 
-`storm.toml` lies beside `storm.jsonl`. A bound that is left out is not stated for that trace.
+The outcomes of `storm.jsonl` are in `storm.toml` in the same folder. A bound that is left out there
+has the default of `Outcomes`, or is not checked where the default is None.
 """
 
 import tomllib
@@ -15,7 +16,11 @@
 
 @dataclass(frozen=True)
 class Outcomes:
-    """What a replay of a trace must give; shares are of what the baseline gives."""
+    """The bounds that a replay of a trace must meet.
+
+    Times are in milliseconds. A share is relative to the baseline scheduler's value on that trace.
+    `rejected` counts rejections by reason; `quarantined` names workers in alphabetical order.
+    """
 
     about: str
     small_urgent_p99_share: float | None = None
@@ -31,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """One measure of a replay, the baseline's, and the target; lower is better."""
+    """One measure of a replay and of the baseline's, with its target; lower is better."""
 
     metric: str
     ours: float
@@ -40,7 +45,7 @@
     unit: str
 
     def is_met(self) -> bool:
-        """Tell whether the target is reached."""
+        """Return whether the target is met."""
         return self.ours <= self.target
 
 
@@ -48,13 +53,13 @@
 
 
 def samples() -> list[Path]:
-    """Return the traces that come with the package, by name."""
+    """Return the paths of the traces that come with the package, ordered by name."""
     folder = Path(str(resources.files("agateferry_scheduling.traces") / "samples"))
     return sorted(folder.glob("*.jsonl"))
 
 
 def read_outcomes(trace: Path) -> Outcomes:
-    """Return the outcomes stated beside a trace; raise OSError where there are none.
+    """Return the expected outcomes of a trace; raise OSError where it has none.
 
     For example `read_outcomes(Path("storm.jsonl"))` reads storm.toml.
     """
@@ -63,7 +68,7 @@
 
 
 def compare(outcomes: Outcomes, ours: Report, baseline: Report) -> list[Comparison]:
-    """Return each stated bound with what both policies gave."""
+    """Return each bound of the outcomes with the measures of both replays."""
     rows = [
         Comparison("reclaims-late", ours.reclaims_late, baseline.reclaims_late, 0, "count"),
         Comparison(
@@ -86,13 +91,15 @@
         ),
     ]
     if outcomes.small_urgent_p99_share is not None:
-        theirs = baseline.small_urgent.p99_ms
-        target = outcomes.small_urgent_p99_share * theirs
-        rows.append(Comparison("small-urgent-p99", ours.small_urgent.p99_ms, theirs, target, "ms"))
+        baseline_ms = baseline.small_urgent.p99_ms
+        target = outcomes.small_urgent_p99_share * baseline_ms
+        rows.append(
+            Comparison("small-urgent-p99", ours.small_urgent.p99_ms, baseline_ms, target, "ms")
+        )
     if outcomes.fragmentation_share is not None:
-        stranded = baseline.fragmentation_pct
-        target = outcomes.fragmentation_share * stranded
-        rows.append(Comparison("fragmentation", ours.fragmentation_pct, stranded, target, "%"))
+        baseline_pct = baseline.fragmentation_pct
+        target = outcomes.fragmentation_share * baseline_pct
+        rows.append(Comparison("fragmentation", ours.fragmentation_pct, baseline_pct, target, "%"))
     return rows
 
 
@@ -101,11 +108,11 @@
 
     These are a broken invariant, other rejections and other quarantined workers.
     """
-    found = []
+    deviations = []
     if ours.broken is not None:
-        found.append(ours.broken)
+        deviations.append(ours.broken)
     if outcomes.rejected is not None and ours.rejected != outcomes.rejected:
-        found.append(f"rejected {ours.rejected}, stated {outcomes.rejected}")
+        deviations.append(f"rejected {ours.rejected}, stated {outcomes.rejected}")
     if outcomes.quarantined is not None and ours.quarantined != outcomes.quarantined:
-        found.append(f"quarantined {ours.quarantined}, stated {outcomes.quarantined}")
-    return found
+        deviations.append(f"quarantined {ours.quarantined}, stated {outcomes.quarantined}")
+    return deviations
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/recorder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/recorder.py
@@ -1,4 +1,4 @@
-"""Record the events that a scheduler takes, so that they can be replayed later."""
+"""Record the events that a scheduler gets, so that they can be replayed later."""
 
 from collections.abc import Callable
 
@@ -26,51 +26,51 @@
     WorkerDown,
     WorkerLeft,
     WorkerUp,
-    line_of,
+    format_line,
 )
 
 
 class Recorder:
-    """Turn scheduler events into trace lines and hand each to `write`.
+    """Convert scheduler events to trace lines and pass each to `write`.
 
     For example `Recorder(lambda line: file.write(line + "\\n")).record(event, now_ms)`. A request
-    that is queued again is recorded once, and a run counts when it came to its own end.
+    that is requeued is recorded once only, and runs that were preempted or lost are not recorded.
     """
 
     def __init__(self, write: Callable[[str], object]) -> None:
         self._write = write
-        self._open: set[str] = set()
+        self._open_request_ids: set[str] = set()
 
     def record(self, event: SchedulerEvent, now_ms: int) -> None:
-        """Write the line of an event, if it has one."""
-        record = self._record_of(event, now_ms)
+        """Write the line of an event, if traces have one for it."""
+        record = self._to_record(event, now_ms)
         if record is not None:
-            self._write(line_of(record))
+            self._write(format_line(record))
 
-    def _record_of(self, event: SchedulerEvent, now_ms: int) -> Record | None:
+    def _to_record(self, event: SchedulerEvent, now_ms: int) -> Record | None:
         match event:
-            case RequestQueued(request=request) if request.request_id not in self._open:
-                self._open.add(request.request_id)
+            case RequestQueued(request=request) if request.request_id not in self._open_request_ids:
+                self._open_request_ids.add(request.request_id)
                 return Submitted(now_ms, request)
             case RequestWithdrawn(request_id=request_id):
-                self._open.discard(request_id)
+                self._open_request_ids.discard(request_id)
                 return Cancelled(now_ms, request_id)
             case RequestEnded():
-                return self._end_of(event, now_ms)
+                return self._to_end_record(event, now_ms)
             case _:
-                return _change_of(event, now_ms)
+                return _to_change_record(event, now_ms)
 
-    def _end_of(self, event: RequestEnded, now_ms: int) -> Record | None:
+    def _to_end_record(self, event: RequestEnded, now_ms: int) -> Record | None:
         if event.reason in (EndReason.PREEMPTED, EndReason.WORKER_LOST):
             return None
-        self._open.discard(event.request_id)
+        self._open_request_ids.discard(event.request_id)
         if event.reason is EndReason.CANCELLED:
             return Cancelled(now_ms, event.request_id)
         fails = event.reason is EndReason.FAILED
         return Ended(now_ms, event.request_id, event.run_ms, fails)
 
 
-def _change_of(event: SchedulerEvent, now_ms: int) -> Record | None:
+def _to_change_record(event: SchedulerEvent, now_ms: int) -> Record | None:
     match event:
         case WorkerJoined(worker=worker):
             return WorkerUp(now_ms, worker)
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/records.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/records.py
@@ -1,4 +1,4 @@
-"""The lines of a trace: one JSON object each, with its time in milliseconds and its event.
+"""The lines of a trace: JSON objects, each with an event and its time in milliseconds.
 
 For example `{"event": "cancelled", "at_ms": 1200, "request_id": "r7"}`. Lines are ordered by time.
 """
@@ -16,12 +16,12 @@
 
 
 class TraceError(ValueError):
-    """A trace file holds a line that is none; the text gives its file and number."""
+    """A line of a trace file is not valid; the text names the file and the line number."""
 
 
 @dataclass(frozen=True)
 class WorkerUp:
-    """A worker joined."""
+    """A worker joined, or joined again."""
 
     at_ms: int
     worker: Worker
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class WorkerLeft:
-    """A worker announced that it leaves; what it runs goes on."""
+    """A worker is draining: it accepts no new work, and its runs continue."""
 
     at_ms: int
     name: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class WorkerDown:
-    """A worker was lost with all that it ran."""
+    """A worker was lost, with all its runs."""
 
     at_ms: int
     name: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class WorkerBroke:
-    """From now on a worker fails everything that it starts, until it is mended."""
+    """A worker fails every run that it starts from now on; with `mended` it no longer does."""
 
     at_ms: int
     name: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class TeamsSet:
-    """The list of teams as of now."""
+    """The teams changed to this list."""
 
     at_ms: int
     teams: tuple[Team, ...]
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class ConfigSet:
-    """The scheduling configuration as of now."""
+    """The scheduling configuration changed to this one."""
 
     at_ms: int
     config: SchedulingConfig
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class Submitted:
-    """A request came; `run_ms` is how long it really runs, and None where that was not seen."""
+    """A request was submitted; `run_ms` is its real run time, or None where that is not known."""
 
     at_ms: int
     request: PendingRequest
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True)
 class Ended:
-    """A recorded request ran to its end; gives the run time to its `Submitted` line."""
+    """A recorded request ended by itself; `merge_run_times` moves `run_ms` to its `Submitted`."""
 
     at_ms: int
     request_id: str
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True)
 class UsageSeen:
-    """A worker reported usage as it was at `as_of_ms`."""
+    """A worker reported its usage at `as_of_ms`, a time in the past."""
 
     at_ms: int
     name: str
@@ -134,44 +134,47 @@
 
 
 def read_trace(path: Path) -> list[Record]:
-    """Return a trace's records in their order; raise `TraceError` for a bad line."""
+    """Return a trace's records in their order; raise `TraceError` for a line that is not valid."""
     records: list[Record] = []
     with path.open(encoding="utf-8") as lines:
         for number, line in enumerate(lines, start=1):
             if line.strip():
-                records.append(_parse(line, path, number))
-    return merge_ends(records)
+                records.append(_parse_line(line, path, number))
+    return merge_run_times(records)
 
 
 def write_trace(path: Path, records: Iterable[Record]) -> None:
     """Write records as JSON lines."""
     with path.open("w", encoding="utf-8") as lines:
         for record in records:
-            lines.write(line_of(record) + "\n")
+            lines.write(format_line(record) + "\n")
 
 
-def line_of(record: Record) -> str:
-    """Return a record as one line of JSON; what has its default value is left out."""
-    return json.dumps({"event": record.event} | slim(record), separators=(",", ":"))
+def format_line(record: Record) -> str:
+    """Return a record as one line of JSON, without fields that have their default values."""
+    return json.dumps({"event": record.event} | without_defaults(record), separators=(",", ":"))
 
 
-def slim(value: Any) -> Any:
-    """Return data classes as maps without the fields that have their default values."""
+def without_defaults(value: Any) -> Any:
+    """Return a data class as a dict without the fields that have their default values.
+
+    Data classes and tuples inside are converted too; other values are returned unchanged.
+    """
     if isinstance(value, tuple):
-        return [slim(part) for part in value]
+        return [without_defaults(part) for part in value]
     if not is_dataclass(value):
         return value
     pairs = ((field.name, field.default, getattr(value, field.name)) for field in fields(value))
-    return {name: slim(part) for name, default, part in pairs if part != default}
+    return {name: without_defaults(part) for name, default, part in pairs if part != default}
 
 
-def merge_ends(records: list[Record]) -> list[Record]:
-    """Give each recorded run time to the request that it belongs to."""
+def merge_run_times(records: list[Record]) -> list[Record]:
+    """Copy each recorded run time to the request's `Submitted`, and drop the `Ended` records."""
     ends = {record.request_id: record for record in records if isinstance(record, Ended)}
-    return list(_merged(records, ends))
+    return list(_with_run_times(records, ends))
 
 
-def _merged(records: list[Record], ends: dict[str, Ended]) -> Iterator[Record]:
+def _with_run_times(records: list[Record], ends: dict[str, Ended]) -> Iterator[Record]:
     for record in records:
         if isinstance(record, Ended):
             continue
@@ -182,8 +185,8 @@
         yield record
 
 
-def _parse(line: str, path: Path, number: int) -> Record:
+def _parse_line(line: str, path: Path, number: int) -> Record:
     try:
         return _ADAPTER.validate_json(line)
     except ValidationError as exc:
-        raise TraceError(f"{path}:{number} is no trace line: {exc.errors()[0]['msg']}") from exc
+        raise TraceError(f"{path}:{number} is not a trace line: {exc.errors()[0]['msg']}") from exc
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/replay.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/replay.py
@@ -1,7 +1,8 @@
-"""Replay a trace through a scheduler, in virtual time and against a fake of the workers.
+"""Replay a trace through a scheduler, in virtual time and with simulated workers.
 
-For example `replay(Path("storm.jsonl"), Policy.FAIR).table()` gives a text for people. After each
-step the cluster's own books are checked, and for the fair policy the proof of its guarantees too.
+For example `replay(Path("storm.jsonl"), Policy.FAIR).table()` returns a text for people. The
+simulated cluster checks each decision, and after each step of the fair policy the invariant of the
+guarantees is checked too.
 """
 
 import heapq
@@ -40,7 +41,7 @@
     WorkerLost,
 )
 from agateferry_scheduling.scheduler.scheduler import FairScheduler
-from agateferry_scheduling.traces.cluster import BrokenInvariant, Cluster, Run
+from agateferry_scheduling.traces.cluster import Cluster, InvariantError, Run
 from agateferry_scheduling.traces.meter import Meter
 from agateferry_scheduling.traces.records import (
     Cancelled,
@@ -57,12 +58,12 @@
 )
 from agateferry_scheduling.traces.report import Report
 
-TICK_MS = 500
-IDLE_TICK_MS = 10_000
+BUSY_TICK_INTERVAL_MS = 500
+IDLE_TICK_INTERVAL_MS = 10_000
 BUSY_AFTER_CHANGE_MS = 5_000
-CHECKPOINT_MS = 2_000
-FAILURE_MS = 3_000
-DRAIN_MS = 10 * 3_600_000
+CHECKPOINT_DURATION_MS = 2_000
+TIME_TO_FAILURE_MS = 3_000
+MAX_DRAIN_MS = 10 * 3_600_000
 
 
 class Policy(StrEnum):
@@ -74,21 +75,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _Finish:
-    """A run comes to its own end."""
+    """A run ends by itself, finished or failed."""
 
     run: Run
 
 
 @dataclass(frozen=True, slots=True)
 class _Stop:
-    """A run has checkpointed, if it can, and stops."""
+    """A preempted run stops, after its checkpoint if it makes one."""
 
     run: Run
 
 
 @dataclass(frozen=True, slots=True)
 class _Tick:
-    """Time passes."""
+    """The scheduler gets a tick."""
 
 
 _Action = Record | _Finish | _Stop | _Tick
@@ -100,18 +101,18 @@
     weights: PolicyWeights | None = None,
     name: str = "",
 ) -> Report:
-    """Run a trace, from a file or at hand, to its end and return what was measured.
+    """Replay a trace, given as a file or as records, to its end and return the measures.
 
-    `weights` takes the place of those in the trace. A broken invariant ends the replay and is told
-    in the report. A request whose run time was not recorded runs as long as it declared.
+    `weights` replaces the weights in the trace. A violated invariant ends the replay and is named
+    in the report. A request whose run time was not recorded runs for its declared time.
     """
     records = read_trace(trace) if isinstance(trace, Path) else list(trace)
     title = name or (trace.stem if isinstance(trace, Path) else "trace")
     return Replay(records, policy, weights).run(title)
 
 
-def scheduler_for(policy: Policy, zone: str, config: SchedulingConfig) -> Scheduler:
-    """Return a new scheduler of a policy."""
+def make_scheduler(policy: Policy, zone: str, config: SchedulingConfig) -> Scheduler:
+    """Return a new scheduler for a policy."""
     if policy is Policy.BASELINE:
         return BaselineScheduler(zone, config)
     return FairScheduler(zone, config)
@@ -119,7 +120,11 @@
 
 @dataclass
 class Replay:
-    """One replay: the queue of what happens next, the cluster, the scheduler and the meter."""
+    """One replay, with its queue of timed actions, cluster, scheduler and meter.
+
+    `remaining_ms` is the run time that each request still needs, less what checkpoints saved.
+    `failing_requests` fail wherever they run.
+    """
 
     records: Sequence[Record]
     policy: Policy
@@ -127,37 +132,40 @@
     cluster: Cluster = field(default_factory=Cluster)
     config: SchedulingConfig = SchedulingConfig()
     teams: dict[str, Team] = field(default_factory=dict)
-    left_ms: dict[str, int] = field(default_factory=dict)
-    failing: set[str] = field(default_factory=set)
+    remaining_ms: dict[str, int] = field(default_factory=dict)
+    failing_requests: set[str] = field(default_factory=set)
     step_us: list[int] = field(default_factory=list)
     quarantined: set[str] = field(default_factory=set)
     at_risk: tuple[str, ...] = ()
     now_ms: int = 0
 
     def __post_init__(self) -> None:
-        """Queue all records and make the scheduler for the zone of the first worker."""
+        """Queue all records and create the scheduler, for the zone of the first worker."""
         if self.weights is not None:
             self.config = replace(self.config, weights=self.weights)
         zones = [record.worker.zone for record in self.records if isinstance(record, WorkerUp)]
-        self.scheduler = scheduler_for(self.policy, zones[0] if zones else "", self.config)
+        self.scheduler = make_scheduler(self.policy, zones[0] if zones else "", self.config)
         last_ms = max((record.at_ms for record in self.records), default=0)
-        self.end_ms = last_ms + DRAIN_MS
+        self.end_ms = last_ms + MAX_DRAIN_MS
         self.meter = Meter(self.cluster, last_ms)
-        self._numbers = count()
+        self._sequence_numbers = count()
         self._actions: list[tuple[int, int, _Action]] = []
         for record in self.records:
-            self._later(record.at_ms, record)
-        self._ticking = False
-        self._tick_at_ms = 0
-        self._changed_ms = 0
+            self._schedule(record.at_ms, record)
+        self._has_scheduled_tick = False
+        self._next_tick_ms = 0
+        self._last_change_ms = 0
 
     def run(self, title: str) -> Report:
-        """Carry everything out and report."""
+        """Execute all actions in order of time and return the measures.
+
+        The replay stops `MAX_DRAIN_MS` after the last record at the latest.
+        """
         broken: str | None = None
         try:
             while self._actions and self.now_ms <= self.end_ms:
-                self._next()
-        except BrokenInvariant as exc:
+                self._run_next_action()
+        except InvariantError as exc:
             broken = f"at {self.now_ms} ms: {exc}"
         report = self.meter.report(title, self.policy.value, self.config, self.now_ms)
         report.broken = broken
@@ -167,15 +175,15 @@
         report.step_p99_us = sorted(self.step_us)[int(0.99 * (len(self.step_us) - 1))]
         return report
 
-    def _next(self) -> None:
+    def _run_next_action(self) -> None:
         at_ms, _, action = heapq.heappop(self._actions)
         self.now_ms = at_ms
         self.meter.advance(at_ms)
         match action:
             case _Tick():
-                if at_ms != self._tick_at_ms:
+                if at_ms != self._next_tick_ms:
                     return
-                self._ticking = False
+                self._has_scheduled_tick = False
                 self._step(Tick())
             case _Finish(run=run):
                 self._finish(run)
@@ -186,16 +194,16 @@
             case Cancelled(request_id=request_id):
                 self._cancel(request_id)
             case _:
-                self._change(action)
-        gap_ms = self._tick_ms(action)
+                self._apply_change(action)
+        interval_ms = self._tick_interval_ms(action)
         if (self.cluster.runs or self.meter.waiting) and (
-            not self._ticking or self._tick_at_ms > self.now_ms + gap_ms
+            not self._has_scheduled_tick or self._next_tick_ms > self.now_ms + interval_ms
         ):
-            self._ticking = True
-            self._tick_at_ms = self.now_ms + gap_ms
-            self._later(self._tick_at_ms, _Tick())
+            self._has_scheduled_tick = True
+            self._next_tick_ms = self.now_ms + interval_ms
+            self._schedule(self._next_tick_ms, _Tick())
 
-    def _change(self, record: Record) -> None:
+    def _apply_change(self, record: Record) -> None:
         match record:
             case WorkerUp(worker=worker):
                 self.cluster.join(worker)
@@ -204,7 +212,7 @@
                 self.cluster.leaving.add(name)
                 self._step(WorkerLeaving(name))
             case WorkerDown(name=name):
-                self._lose(name)
+                self._lose_worker(name)
             case WorkerBroke(name=name, mended=mended):
                 (self.cluster.broken.discard if mended else self.cluster.broken.add)(name)
             case TeamsSet(teams=teams):
@@ -216,38 +224,38 @@
                 self._step(ConfigChanged(self.config))
             case UsageSeen():
                 as_of_ms, slots = record.as_of_ms, record.slots_used
-                seen = UsageReported(record.name, as_of_ms, slots, record.accelerators_used)
-                self._step(seen)
+                usage = UsageReported(record.name, as_of_ms, slots, record.accelerators_used)
+                self._step(usage)
 
     def _submit(self, record: Submitted) -> None:
         request = record.request
         run_ms = request.declared_run_ms if record.run_ms is None else record.run_ms
-        self.left_ms[request.request_id] = run_ms
+        self.remaining_ms[request.request_id] = run_ms
         if record.fails:
-            self.failing.add(request.request_id)
-        teams = {n: team for n, team in self.teams.items() if n not in self.at_risk}
-        self.meter.queued(request, run_ms, teams, self.now_ms)
+            self.failing_requests.add(request.request_id)
+        teams = {name: team for name, team in self.teams.items() if name not in self.at_risk}
+        self.meter.record_queued(request, run_ms, teams, self.now_ms)
         self._step(RequestQueued(request))
 
     def _cancel(self, request_id: str) -> None:
-        life = self.meter.lives.get(request_id)
-        if life is None or life.done:
+        tracked = self.meter.requests.get(request_id)
+        if tracked is None or tracked.has_ended:
             return
-        self.meter.cancelled_at(request_id, self.config, self.now_ms)
+        self.meter.record_cancellation(request_id, self.config, self.now_ms)
         run = self.cluster.runs.get(request_id)
         if run is None:
             self._step(RequestWithdrawn(request_id))
             return
-        self.meter.work_ms += self._work_of(run)
+        self.meter.work_accelerator_ms += self._accelerator_ms(run)
         self.cluster.end(request_id)
         self._step(RequestEnded(request_id, EndReason.CANCELLED, self.now_ms - run.started_ms))
 
-    def _lose(self, name: str) -> None:
-        lost = self.cluster.lose(name)
+    def _lose_worker(self, name: str) -> None:
+        lost_ids = self.cluster.remove_worker(name)
         self._step(WorkerLost(name))
-        for request_id in lost:
+        for request_id in lost_ids:
             run = self.cluster.end(request_id)
-            self.meter.requeued(request_id, self.now_ms)
+            self.meter.record_requeue(request_id, self.now_ms)
             run_ms = self.now_ms - run.started_ms
             self._step(RequestEnded(request_id, EndReason.WORKER_LOST, run_ms))
             self._step(RequestQueued(run.request))
@@ -258,15 +266,15 @@
             return
         self.cluster.end(request.request_id)
         run_ms = self.now_ms - run.started_ms
-        failed = run.fails_on
-        if request.request_id in self.failing:
-            failed = failed or tuple(run.workers)[:1]
-        if not failed:
-            self.meter.ended(run, True, self.now_ms)
+        failed_workers = run.failing_workers
+        if request.request_id in self.failing_requests:
+            failed_workers = failed_workers or tuple(run.workers)[:1]
+        if not failed_workers:
+            self.meter.record_end(run, True, self.now_ms)
             self._step(RequestEnded(request.request_id, EndReason.FINISHED, run_ms))
             return
-        self.meter.requeued(request.request_id, self.now_ms)
-        self._step(RequestEnded(request.request_id, EndReason.FAILED, run_ms, failed))
+        self.meter.record_requeue(request.request_id, self.now_ms)
+        self._step(RequestEnded(request.request_id, EndReason.FAILED, run_ms, failed_workers))
         self._step(RequestQueued(request))
 
     def _stop(self, run: Run) -> None:
@@ -276,10 +284,10 @@
         self.cluster.end(request.request_id)
         run_ms = self.now_ms - run.started_ms
         kept_ms = 0
-        if request.checkpointable and run.stop_ms is not None:
-            kept_ms = max(run.stop_ms - run.started_ms, 0)
-        self.left_ms[request.request_id] = max(run.left_ms - kept_ms, 1)
-        self.meter.stopped(run, kept_ms, self.now_ms)
+        if request.checkpointable and run.checkpoint_ms is not None:
+            kept_ms = max(run.checkpoint_ms - run.started_ms, 0)
+        self.remaining_ms[request.request_id] = max(run.remaining_ms - kept_ms, 1)
+        self.meter.record_preemption(run, kept_ms, self.now_ms)
         self._step(RequestEnded(request.request_id, EndReason.PREEMPTED, run_ms))
         self._step(RequestQueued(request))
 
@@ -288,65 +296,74 @@
         decisions = self.scheduler.step(event, self.now_ms)
         self.step_us.append((time.perf_counter_ns() - before) // 1_000)
         for decision in decisions:
-            self._carry_out(decision)
-        self._check()
+            self._execute(decision)
+        self._check_guarantees()
 
-    def _carry_out(self, decision: Decision) -> None:
+    def _execute(self, decision: Decision) -> None:
         match decision:
             case Start():
                 self._start(decision)
-            case Preempt(request_id=request_id, stop_by_ms=by_ms):
-                self._preempt(request_id, by_ms)
+            case Preempt(request_id=request_id, stop_by_ms=stop_by_ms):
+                self._preempt(request_id, stop_by_ms)
             case Reject(request_id=request_id, reason=reason):
-                self.meter.refused(request_id, reason.value)
+                self.meter.record_rejection(request_id, reason.value)
             case Quarantine(worker=worker, lifted=lifted):
                 (self.quarantined.discard if lifted else self.quarantined.add)(worker)
             case GuaranteeAtRisk(teams=teams):
                 self.at_risk = teams
 
     def _start(self, decision: Start) -> None:
-        request = self._request(decision.request_id)
+        request = self._find_request(decision.request_id)
         if decision.request_id not in self.meter.waiting:
-            raise BrokenInvariant(f"{decision.request_id} starts though it does not wait")
-        left_ms = self.left_ms[decision.request_id]
-        run = self.cluster.start(request, decision.assignments, self.now_ms, left_ms)
-        self.meter.started(request, self.config, self.now_ms)
-        fails = bool(run.fails_on) or decision.request_id in self.failing
-        self._later(self.now_ms + (min(FAILURE_MS, left_ms) if fails else left_ms), _Finish(run))
-
-    def _preempt(self, request_id: str, by_ms: int) -> None:
+            raise InvariantError(f"{decision.request_id} starts but does not wait")
+        remaining_ms = self.remaining_ms[decision.request_id]
+        run = self.cluster.start(request, decision.assignments, self.now_ms, remaining_ms)
+        self.meter.record_start(request, self.config, self.now_ms)
+        fails = bool(run.failing_workers) or decision.request_id in self.failing_requests
+        self._schedule(
+            self.now_ms + (min(TIME_TO_FAILURE_MS, remaining_ms) if fails else remaining_ms),
+            _Finish(run),
+        )
+
+    def _preempt(self, request_id: str, stop_by_ms: int) -> None:
         run = self.cluster.runs.get(request_id)
         if run is None:
-            raise BrokenInvariant(f"{request_id} is told to stop but does not run")
+            raise InvariantError(f"{request_id} is preempted but does not run")
         if not run.request.preemptible:
-            raise BrokenInvariant(f"{request_id} is told to stop but cannot be taken back")
-        needed_ms = CHECKPOINT_MS if run.request.checkpointable else 0
-        if self.now_ms + needed_ms <= by_ms:
-            run.stop_ms = self.now_ms
-        self._later(min(self.now_ms + needed_ms, max(by_ms, self.now_ms)), _Stop(run))
-
-    def _check(self) -> None:
+            raise InvariantError(f"{request_id} is preempted but is not preemptible")
+        checkpoint_duration_ms = CHECKPOINT_DURATION_MS if run.request.checkpointable else 0
+        if self.now_ms + checkpoint_duration_ms <= stop_by_ms:
+            run.checkpoint_ms = self.now_ms
+        self._schedule(
+            min(self.now_ms + checkpoint_duration_ms, max(stop_by_ms, self.now_ms)), _Stop(run)
+        )
+
+    def _check_guarantees(self) -> None:
         if not isinstance(self.scheduler, FairScheduler):
             return
         zone = self.scheduler.zone
-        fault = find_guarantee_violation(zone.topology, zone.layout, self.teams.values())
-        if fault is not None:
-            raise BrokenInvariant(fault)
+        violation = find_guarantee_violation(zone.topology, zone.layout, self.teams.values())
+        if violation is not None:
+            raise InvariantError(violation)
 
-    def _work_of(self, run: Run) -> int:
+    def _accelerator_ms(self, run: Run) -> int:
         demand = run.request.demand
         return (self.now_ms - run.started_ms) * demand.members * max(demand.accelerators, 1)
 
-    def _tick_ms(self, action: _Action) -> int:
-        """Tick often for a while after each change as long as anything waits."""
+    def _tick_interval_ms(self, action: _Action) -> int:
+        """Return the time until the next tick.
+
+        It is short for `BUSY_AFTER_CHANGE_MS` after each action other than a tick, while any
+        request waits.
+        """
         if not isinstance(action, _Tick):
-            self._changed_ms = self.now_ms
-        is_fresh = self.now_ms - self._changed_ms < BUSY_AFTER_CHANGE_MS
-        is_busy = is_fresh and bool(self.meter.waiting)
-        return TICK_MS if is_busy else IDLE_TICK_MS
+            self._last_change_ms = self.now_ms
+        is_recent = self.now_ms - self._last_change_ms < BUSY_AFTER_CHANGE_MS
+        is_busy = is_recent and bool(self.meter.waiting)
+        return BUSY_TICK_INTERVAL_MS if is_busy else IDLE_TICK_INTERVAL_MS
 
-    def _request(self, request_id: str) -> PendingRequest:
-        return self.meter.lives[request_id].request
+    def _find_request(self, request_id: str) -> PendingRequest:
+        return self.meter.requests[request_id].request
 
-    def _later(self, at_ms: int, action: _Action) -> None:
-        heapq.heappush(self._actions, (at_ms, next(self._numbers), action))
+    def _schedule(self, at_ms: int, action: _Action) -> None:
+        heapq.heappush(self._actions, (at_ms, next(self._sequence_numbers), action))
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/report.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/report.py
@@ -1,4 +1,4 @@
-"""What a replay measured. docs/design/measures.md defines each measure."""
+"""The measures of a replay. docs/design/measures.md defines each of them."""
 
 import math
 from collections.abc import Sequence
@@ -8,8 +8,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
-    """The median, 95th and 99th percentile of some times in milliseconds, and their number."""
+class Percentiles:
+    """The number of some times, and their median, 95th and 99th percentile in milliseconds."""
 
     count: int
     median_ms: int
@@ -17,35 +17,41 @@
     p99_ms: int
 
 
-def spread(values: Sequence[int]) -> Spread:
-    """Return the spread of the values, by the nearest rank."""
+def percentiles_of(values: Sequence[int]) -> Percentiles:
+    """Return the percentiles of the values by the nearest-rank method; all 0 without values."""
     ordered = sorted(values)
     if not ordered:
-        return Spread(0, 0, 0, 0)
-    at = [ordered[max(math.ceil(part * len(ordered)) - 1, 0)] for part in (0.5, 0.95, 0.99)]
-    return Spread(len(ordered), *at)
+        return Percentiles(0, 0, 0, 0)
+    values_at = [
+        ordered[max(math.ceil(share * len(ordered)) - 1, 0)] for share in (0.5, 0.95, 0.99)
+    ]
+    return Percentiles(len(ordered), *values_at)
 
 
 @dataclass(slots=True)
 class Sample:
-    """The zone at one moment: accelerators used, racks wholly free, and who waits."""
+    """The zone at one time: its accelerators, those in use, free racks and waiting requests."""
 
     at_ms: int
     accelerators: int
-    used: int
-    whole_racks: int
+    accelerators_used: int
+    free_racks: int
     waiting: dict[Urgency, int]
 
 
 @dataclass(slots=True)
 class Report:
-    """All that one replay of one trace under one policy gave."""
+    """The measures of one replay of a trace under one policy.
+
+    Its fields are the keys of `agateferry replay --json`. `broken` is the invariant that a decision
+    violated, or None.
+    """
 
     trace: str
     policy: str
-    completion: dict[Urgency, Spread] = field(default_factory=dict)
-    small_urgent: Spread = field(default_factory=lambda: Spread(0, 0, 0, 0))
-    small_urgent_run: Spread = field(default_factory=lambda: Spread(0, 0, 0, 0))
+    completion: dict[Urgency, Percentiles] = field(default_factory=dict)
+    small_urgent: Percentiles = field(default_factory=lambda: Percentiles(0, 0, 0, 0))
+    small_urgent_run: Percentiles = field(default_factory=lambda: Percentiles(0, 0, 0, 0))
     mean_slowdown: float = 0.0
     fragmentation_pct: float = 0.0
     utilization_pct: float = 0.0
@@ -74,14 +80,19 @@
         """Return the cost by these weights; lower is better.
 
         It is the weighted sum of the mean slowdown's logarithm to base 10 and of the fragmentation
-        as a share of one.
+        as a fraction of 1.
         """
-        slow = math.log10(max(self.mean_slowdown, 1.0))
-        return completion_weight * slow + fragmentation_weight * self.fragmentation_pct / 100.0
+        log_slowdown = math.log10(max(self.mean_slowdown, 1.0))
+        return (
+            completion_weight * log_slowdown + fragmentation_weight * self.fragmentation_pct / 100.0
+        )
 
     def rows(self) -> list[tuple[str, str]]:
         """Return the report as names and values with their units, for a table."""
-        rows = [(f"completion {u} p50/p95/p99", _times(s)) for u, s in self.completion.items()]
+        rows = [
+            (f"completion {urgency} p50/p95/p99", _format_percentiles(percentiles))
+            for urgency, percentiles in self.completion.items()
+        ]
         rows += [
             ("mean slowdown", f"{self.mean_slowdown:.2f}"),
             ("fragmentation", f"{self.fragmentation_pct:.2f} %"),
@@ -108,6 +119,6 @@
         return "\n".join(lines)
 
 
-def _times(spread_: Spread) -> str:
-    parts = (spread_.median_ms, spread_.p95_ms, spread_.p99_ms)
-    return " / ".join(f"{part / 1000:.1f}" for part in parts) + f" s of {spread_.count}"
+def _format_percentiles(percentiles: Percentiles) -> str:
+    times_ms = (percentiles.median_ms, percentiles.p95_ms, percentiles.p99_ms)
+    return " / ".join(f"{ms / 1000:.1f}" for ms in times_ms) + f" s of {percentiles.count}"
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/tests/test_replay.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/tests/test_replay.py
@@ -14,7 +14,7 @@
     WorkerJoined,
 )
 from agateferry_scheduling.scheduler.tests.support import request, team, worker
-from agateferry_scheduling.traces.cluster import BrokenInvariant, Cluster
+from agateferry_scheduling.traces.cluster import Cluster, InvariantError
 from agateferry_scheduling.traces.recorder import Recorder
 from agateferry_scheduling.traces.records import (
     Cancelled,
@@ -23,23 +23,23 @@
     TeamsSet,
     TraceError,
     WorkerUp,
-    merge_ends,
+    merge_run_times,
     read_trace,
 )
 from agateferry_scheduling.traces.replay import Policy, replay
-from agateferry_scheduling.traces.report import spread
+from agateferry_scheduling.traces.report import percentiles_of
 
 ZONE = [TeamsSet(0, (team("a"),)), WorkerUp(0, worker("w0")), WorkerUp(0, worker("w1"))]
 
 
-def folder_of(case):
+def temporary_folder(case):
     folder = tempfile.TemporaryDirectory()
     case.addCleanup(folder.cleanup)
     return Path(folder.name)
 
 
-def submitted(name, at_ms, run_ms, **kept):
-    return Submitted(at_ms, request(name, at_ms=at_ms, **kept), run_ms)
+def submitted(name, at_ms, run_ms, **fields):
+    return Submitted(at_ms, request(name, at_ms=at_ms, **fields), run_ms)
 
 
 class ReplayTests(testtools.TestCase):
@@ -73,7 +73,7 @@
         report = replay(records, Policy.FAIR)
         self.assertEqual((0, 1, 0.0), (report.finished, report.cancelled, report.lost_pct))
 
-    def test_an_urgent_start_that_comes_late_is_counted(self):
+    def test_a_late_urgent_start_is_counted(self):
         records = [
             *ZONE,
             submitted("x1", 0, 10_000, members=16, preemptible=False),
@@ -82,7 +82,7 @@
         report = replay(records, Policy.BASELINE)
         self.assertEqual((1, 1), (report.urgent_starts, report.urgent_late))
 
-    def test_a_report_prints_all_it_measured(self):
+    def test_a_report_prints_its_measures(self):
         text = replay([*ZONE, submitted("x1", 0, 1_000)], Policy.FAIR, name="tiny").table()
         self.assertIn("tiny under fair", text)
         self.assertIn("fragmentation", text)
@@ -102,10 +102,12 @@
         for number, rack in enumerate(("r0", "r0", "r1")):
             cluster.join(worker(f"w{number}", rack))
         demand = pending.demand
-        places = tuple(Assignment(n, name, demand.accelerators) for n, name in enumerate(names))
-        cluster.start(pending, places, 0, 1)
+        assignments = tuple(
+            Assignment(n, name, demand.accelerators) for n, name in enumerate(names)
+        )
+        cluster.start(pending, assignments, 0, 1)
 
-    def test_what_no_zone_could_carry_out_is_refused(self):
+    def test_a_start_that_no_zone_could_execute_is_an_error(self):
         rack, one = Adjacency.RACK, Adjacency.WORKER
         cases = (
             (request("x", members=2), ("w0",), "members"),
@@ -115,31 +117,31 @@
             (request("x"), ("gone",), "closed"),
         )
         for pending, names, text in cases:
-            exc = self.assertRaises(BrokenInvariant, self.start, pending, *names)
+            exc = self.assertRaises(InvariantError, self.start, pending, *names)
             self.assertIn(text, str(exc))
 
-    def test_urgent_work_fits_where_others_may_stop(self):
+    def test_urgent_work_must_fit_into_the_capacity_of_a_worker(self):
         cluster = Cluster()
         cluster.join(worker("w0"))
-        self.assertTrue(cluster.could_hold_urgent(Demand(accelerators=8)))
-        self.assertFalse(cluster.could_hold_urgent(Demand(accelerators=9)))
+        self.assertTrue(cluster.could_fit_urgent(Demand(accelerators=8)))
+        self.assertFalse(cluster.could_fit_urgent(Demand(accelerators=9)))
 
 
 class RecordTests(testtools.TestCase):
-    def test_a_bad_line_is_told_with_its_number(self):
-        path = folder_of(self) / "bad.jsonl"
+    def test_an_invalid_line_is_reported_with_its_number(self):
+        path = temporary_folder(self) / "bad.jsonl"
         path.write_text('{"event":"cancelled","at_ms":1,"request_id":"x"}\n{"event":"what"}\n')
         exc = self.assertRaises(TraceError, read_trace, path)
         self.assertIn("bad.jsonl:2", str(exc))
 
-    def test_recorded_run_times_go_to_their_requests(self):
-        records = merge_ends([Submitted(0, request("x")), Ended(9, "x", 7, True)])
+    def test_recorded_run_times_are_merged_into_their_requests(self):
+        records = merge_run_times([Submitted(0, request("x")), Ended(9, "x", 7, True)])
         self.assertEqual([Submitted(0, request("x"), 7, True)], records)
 
 
 class RecorderTests(testtools.TestCase):
-    def test_what_was_recorded_can_be_replayed(self):
-        path = folder_of(self) / "day.jsonl"
+    def test_recorded_events_can_be_replayed(self):
+        path = temporary_folder(self) / "day.jsonl"
         lines = []
         recorder = Recorder(lines.append)
         recorder.record(TeamsChanged((team("a"),)), 0)
@@ -157,10 +159,10 @@
         self.assertEqual(700, report.completion[Urgency.NORMAL].median_ms)
 
 
-class SpreadTests(testtools.TestCase):
-    def test_percentiles_go_by_the_nearest_rank(self):
-        found = spread(range(1, 201))
+class PercentilesTests(testtools.TestCase):
+    def test_percentiles_use_the_nearest_rank(self):
+        found = percentiles_of(range(1, 201))
         self.assertEqual(
             (200, 100, 190, 198), (found.count, found.median_ms, found.p95_ms, found.p99_ms)
         )
-        self.assertEqual(0, spread([]).p99_ms)
+        self.assertEqual(0, percentiles_of([]).p99_ms)
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/tests/test_samples.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/tests/test_samples.py
@@ -9,10 +9,10 @@
 
 
 class SampleTests(testtools.TestCase):
-    def test_every_made_trace_is_a_sample(self):
+    def test_every_maker_has_a_sample(self):
         self.assertEqual(sorted(MAKERS), [path.stem for path in samples()])
 
-    def test_samples_are_what_their_makers_make(self):
+    def test_samples_equal_what_their_makers_generate(self):
         for path in samples():
             self.assertEqual(MAKERS[path.stem](SEED, 1.0), read_trace(path))
 
