--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/__init__.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/__init__.py
@@ -1,11 +1,11 @@
-"""Recorded events, their replay and what is measured of it.
+"""Traces of scheduler events, their replay in virtual time and the measures of a replay.
 
-`replay(path, Policy.FAIR)` returns a `Report`, `Report.table()` is a text for people, and
-`draw(report, path)` a picture.
+`replay(path, Policy.FAIR)` returns a `Report`. `Report.table()` returns it as text, and
+`draw(report, path)` writes it as a picture.
 """
 
 from agateferry_scheduling.traces.drawing import draw
-from agateferry_scheduling.traces.outcomes import compare, faults, read_outcomes, samples
+from agateferry_scheduling.traces.outcomes import compare, find_deviations, read_outcomes, samples
 from agateferry_scheduling.traces.recorder import Recorder
 from agateferry_scheduling.traces.records import TraceError, read_trace, write_trace
 from agateferry_scheduling.traces.replay import Policy, replay
@@ -18,7 +18,7 @@
     "TraceError",
     "compare",
     "draw",
-    "faults",
+    "find_deviations",
     "read_outcomes",
     "read_trace",
     "replay",
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/tests/test_samples.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/tests/test_samples.py
@@ -1,7 +1,7 @@
 import testtools
 
 from agateferry_scheduling.traces.makers import MAKERS
-from agateferry_scheduling.traces.outcomes import compare, faults, read_outcomes, samples
+from agateferry_scheduling.traces.outcomes import compare, find_deviations, read_outcomes, samples
 from agateferry_scheduling.traces.records import read_trace
 from agateferry_scheduling.traces.replay import Policy, replay
 
@@ -9,10 +9,10 @@
 
 
 class SampleTests(testtools.TestCase):
-    def test_every_made_trace_is_a_sample(self):
+    def test_every_maker_has_a_sample(self):
         self.assertEqual(sorted(MAKERS), [path.stem for path in samples()])
 
-    def test_samples_are_what_their_makers_make(self):
+    def test_samples_equal_what_their_makers_generate(self):
         for path in samples():
             self.assertEqual(MAKERS[path.stem](SEED, 1.0), read_trace(path))
 
@@ -25,7 +25,7 @@
             for row in compare(outcomes, ours, replay(path, Policy.BASELINE))
             if not row.is_met()
         ]
-        self.assertEqual([], missed + faults(outcomes, ours))
+        self.assertEqual([], missed + find_deviations(outcomes, ours))
 
     def test_board_day(self):
         self.check("board-day")
