--- a/packages/agateferry-jobs/agateferry_jobs/calls/client.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/client.py
@@ -39,7 +39,7 @@
 
 
 class LeaderClient:
-    """Sends calls to the leader of the cell, whichever host that is."""
+    """Send calls to the leader of the cell, whichever host that is."""
 
     def __init__(self, clock: Clock, port: int) -> None:
         self._clock = clock
--- a/packages/agateferry-jobs/agateferry_jobs/cell/call_handler.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/call_handler.py
@@ -1,4 +1,4 @@
-"""Handles the calls of callers and operators: jobs, queue depths and the manifest."""
+"""Handle the calls of callers and operators: jobs, queue depths and the manifest."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 class CallHandler:
-    """Checks each call against the manifest, commits its command and returns the reply."""
+    """Check each call against the manifest, commit its command and return the reply."""
 
     def __init__(
         self, ledger: Ledger, proposer: Proposer, request_planning: Callable[[], None]
--- a/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/leader.py
@@ -30,7 +30,7 @@
 
 
 class Leader:
-    """Manages the cell's jobs and workers while this host leads the replicated log."""
+    """Manage the cell's jobs and workers while this host leads the replicated log."""
 
     def __init__(
         self, replica: Replica, ledger: Ledger, clock: Clock, make_port: PortFactory, lease_ms: int
--- a/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/proposing.py
@@ -12,7 +12,7 @@
 
 
 class Proposer:
-    """Proposes commands and logs those that were not committed or whose outcome is unknown."""
+    """Propose commands and log those that were not committed or whose outcome is unknown."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
--- a/packages/agateferry-jobs/agateferry_jobs/cell/servicer.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/servicer.py
@@ -11,7 +11,7 @@
 
 
 class LeaderServicer(rpc.LeaderServicer):
-    """Decodes a call, passes it to `handle` and encodes the reply."""
+    """Decode a call, pass it to `handle` and encode the reply."""
 
     def __init__(
         self, handle: Callable[[messages.Call], Awaitable[messages.ReplyEnvelope]]
--- a/packages/agateferry-jobs/agateferry_jobs/cell/suspects.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/suspects.py
@@ -21,7 +21,7 @@
 
 
 class SuspectWorkers:
-    """Records failed runs by worker incarnation, that is by a worker's id and `born`."""
+    """Record failed runs by worker incarnation, that is by a worker's id and `born`."""
 
     def __init__(self) -> None:
         self._records: dict[tuple[str, int], _Record] = {}
--- a/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/worker_registry.py
@@ -35,7 +35,7 @@
 
 
 class WorkerRegistry(SessionListener):
-    """Opens a session for each worker in the ledger; closes it when that incarnation ends."""
+    """Open a session for each worker in the ledger; close it when that incarnation ends."""
 
     def __init__(
         self,
--- a/packages/agateferry-jobs/agateferry_jobs/entry/leader_monitor.py
+++ b/packages/agateferry-jobs/agateferry_jobs/entry/leader_monitor.py
@@ -1,4 +1,4 @@
-"""Monitors whether the leader replies; an entry is ready only while it does."""
+"""Monitor whether the leader replies; an entry is ready only while it does."""
 
 import asyncio
 
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
@@ -8,7 +8,7 @@
 
 
 class Policy(Protocol):
-    """Decides which subtask starts where, and which runs are preempted for it."""
+    """Decide which subtask starts where, and which runs are preempted for it."""
 
     def plan(self, ledger: Ledger, fleet: Fleet, now_ms: int) -> Plan:
         """Return the starts and stops that are due now."""
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_day_simulation.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_day_simulation.py
@@ -26,7 +26,7 @@
 
 
 class StopWorkerOnce:
-    """Stops all runs of one worker at one moment, and plans as the leader does otherwise."""
+    """Stop all runs of one worker at one moment, and plan as the leader does otherwise."""
 
     def __init__(self, at_ms):
         self._at_ms = at_ms
--- a/packages/agateferry-jobs/agateferry_jobs/workers/port.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/port.py
@@ -124,7 +124,7 @@
 
 
 class WorkerPort(Protocol):
-    """Sends orders to one incarnation of one worker."""
+    """Send orders to one incarnation of one worker."""
 
     async def start(self, order: StartOrder, timeout_ms: int) -> Answer:
         """Send a start order."""
--- a/packages/agateferry-jobs/agateferry_jobs/workers/session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/session.py
@@ -92,7 +92,7 @@
 
 
 class WorkerSession:
-    """Sends orders and polls to one worker incarnation while this host leads.
+    """Send orders and polls to one worker incarnation while this host leads.
 
     `unexpected_runs` are runs that the worker lists and the ledger does not place there.
     """
--- a/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
+++ b/packages/agateferry-jobs/agateferry_jobs/workers/tests/test_session.py
@@ -14,7 +14,7 @@
 
 
 class Listener:
-    """Records what a session reports."""
+    """Record what a session reports."""
 
     def __init__(self):
         self.tokens = 0
--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/check.py
@@ -1,4 +1,4 @@
-"""Checks a layout against the guarantees, from the placements alone.
+"""Check a layout against the guarantees, from the placements alone.
 
 The check uses none of the totals that the layout maintains, so it also detects a fault in them.
 """
--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/compaction.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/compaction.py
@@ -1,4 +1,4 @@
-"""Compaction: moves small checkpointable work so that whole workers and racks become free again.
+"""Compaction: move small checkpointable work so that whole workers and racks become free again.
 
 Suspending a job and resuming it elsewhere is the migration of Gandiva (Xiao et al., OSDI 2018). A
 move is worthwhile when it increases the sum of the squares of free accelerators, by worker and by
