--- a/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
@@ -208,7 +208,7 @@
 
 
 def _is_stale(known: WorkerIncarnation, update: WorkerIncarnation) -> bool:
-    """Tell whether an update is outdated: an incarnation that drains is never ready again."""
+    """Return whether an update is outdated: an incarnation that drains is never ready again."""
     return known.state is WorkerState.DRAINING and update.state is WorkerState.READY
 
 
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/specs.py
@@ -13,7 +13,7 @@
     gpu: int = 0
 
     def fits(self, free: "Resources") -> bool:
-        """Tell whether these resources fit into `free`."""
+        """Return whether these resources fit into `free`."""
         return self.cpu <= free.cpu and self.mem_mb <= free.mem_mb and self.gpu <= free.gpu
 
     def plus(self, other: "Resources") -> "Resources":
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/state.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/state.py
@@ -93,7 +93,7 @@
 
     @property
     def is_over(self) -> bool:
-        """Tell whether the job has ended, so that none of its subtasks may start."""
+        """Return whether the job has ended, so that none of its subtasks may start."""
         return self.is_cancelled or self.is_failed or self.is_completed
 
     @property
@@ -117,7 +117,7 @@
         return [f"{gang}.{index}" for index in range(step.count)]
 
     def is_gang_broken(self, name: str) -> bool:
-        """Tell whether a subtask belongs to a gang that has a member without an active run."""
+        """Return whether a subtask belongs to a gang that has a member without an active run."""
         if not self.step_of(name).is_gang:
             return False
         return any(
@@ -126,7 +126,7 @@
         )
 
     def is_step_done(self, occurrence: int, step: int) -> bool:
-        """Tell whether all subtasks of a step of one occurrence are done."""
+        """Return whether all subtasks of a step of one occurrence are done."""
         return all(self.subtasks[name].is_done for name in self.members(f"{occurrence}.{step}"))
 
 
--- a/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
@@ -49,22 +49,22 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether this worker may get new runs, provided that it answers."""
+        """Return whether this worker may get new runs, provided that it answers."""
         return self.incarnation.state is WorkerState.READY
 
     @property
     def accepts_runs(self) -> bool:
-        """Tell whether new runs may go to this worker now."""
+        """Return whether new runs may go to this worker now."""
         return self.is_ready and self.health.answers
 
     def can_ever_run(self, step: StepSpec) -> bool:
-        """Tell whether a subtask of this step would fit here if the worker were empty."""
+        """Return whether a subtask of this step would fit here if the worker were empty."""
         if step.required_label and step.required_label not in self.incarnation.labels:
             return False
         return step.need.fits(self.incarnation.capacity)
 
     def fits_now(self, step: StepSpec) -> bool:
-        """Tell whether a subtask of this step fits into the free resources."""
+        """Return whether a subtask of this step fits into the free resources."""
         return self.free_slots > 0 and step.need.fits(self.free)
 
     def count_subtasks(self, job: Job, gang: str) -> int:
--- a/packages/agateferry-jobs/agateferry_jobs/planning/preemption_cost.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/preemption_cost.py
@@ -40,7 +40,7 @@
         return sum(map(self.of_run, runs))
 
     def is_candidate(self, allocated_run: AllocatedRun, rank: int) -> bool:
-        """Tell whether the resources of a run may be planned for a job of this rank."""
+        """Return whether the resources of a run may be planned for a job of this rank."""
         raise NotImplementedError
 
     def _compute(self, allocated_run: AllocatedRun) -> float:
@@ -59,7 +59,7 @@
         return max(map(self.of_run, runs), default=0)
 
     def is_candidate(self, allocated_run: AllocatedRun, rank: int) -> bool:
-        """Tell whether a run ends by itself, which all but long-running ones do."""
+        """Return whether a run ends by itself, which all but long-running ones do."""
         return not allocated_run.step.is_long_running
 
     def _compute(self, allocated_run: AllocatedRun) -> float:
@@ -78,7 +78,7 @@
         self._ranks = ranks
 
     def is_candidate(self, allocated_run: AllocatedRun, rank: int) -> bool:
-        """Tell whether a run ranks below the job that needs its resources."""
+        """Return whether a run ranks below the job that needs its resources."""
         return self._ranks.get(allocated_run.job.id, LOWEST_RANK) > rank
 
     def _compute(self, allocated_run: AllocatedRun) -> float:
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/admission.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/admission.py
@@ -64,7 +64,7 @@
         return None
 
     def _fails_everywhere(self, request: PendingRequest) -> bool:
-        """Tell whether a request failed on several workers or on all that could run it."""
+        """Return whether a request failed on several workers or on all that could run it."""
         if self._zone.health.fails_everywhere(request.request_id):
             return True
         failed = self._zone.health.failed_workers_of(request.request_id)
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
@@ -123,7 +123,7 @@
         return self._cheapest_preemption(demand, self._shortlist(demand, fits), allowed, now_ms)
 
     def is_cheaper(self, request: PendingRequest, one: MemberCounts, other: MemberCounts) -> bool:
-        """Tell whether one placement costs less than the other."""
+        """Return whether one placement costs less than the other."""
         return self._cost(request, one) < self._cost(request, other)
 
     def _cost(self, request: PendingRequest, counts: MemberCounts) -> float:
@@ -261,7 +261,7 @@
         return reservation if waits and owner != request.request_id else None
 
     def uses_urgent_headroom(self, request: PendingRequest) -> bool:
-        """Tell whether a start would use the slots kept free for urgent work."""
+        """Return whether a start would use the slots kept free for urgent work."""
         if request.urgency is Urgency.URGENT or is_large(request):
             return False
         remaining = self._zone.topology.free_slots - request.demand.members
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/preempting.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/preempting.py
@@ -136,7 +136,7 @@
 
 
 def may_use_cells(zone: ZoneState, request: PendingRequest) -> bool:
-    """Tell whether a request may be placed in its team's cells."""
+    """Return whether a request may be placed in its team's cells."""
     has_cells = bool(zone.layout.team_cell_accelerators[request.team])
     return has_cells and (request.demand.accelerators > 0 or not request.preemptible)
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/starting.py
@@ -194,7 +194,7 @@
     def _waits_for_compact_placement(
         self, request: PendingRequest, counts: MemberCounts, now_ms: int
     ) -> bool:
-        """Tell whether a request still waits for a placement that strands no accelerators.
+        """Return whether a request still waits for a placement that strands no accelerators.
 
         The longest wait grows with the square of the weight of fragmentation.
         """
--- a/packages/agateferry-service/agateferry_service/cell/leader.py
+++ b/packages/agateferry-service/agateferry_service/cell/leader.py
@@ -73,7 +73,7 @@
 
     @property
     def active(self) -> bool:
-        """Tell whether this host leads and the leader's work has started."""
+        """Return whether this host leads and the leader's work has started."""
         return self._driver is not None and self.ctx.replica.is_leader
 
     def driver(self) -> SchedulerDriver:
--- a/packages/agateferry-service/agateferry_service/daemon/host.py
+++ b/packages/agateferry-service/agateferry_service/daemon/host.py
@@ -127,7 +127,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the load balancer should send callers to this host."""
+        """Return whether the load balancer should send callers to this host."""
         return self._ready and not self._stopping and not self._replica_failed
 
     def _build_state(self) -> None:
--- a/packages/agateferry-service/agateferry_service/dispatch/attempt.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/attempt.py
@@ -65,18 +65,18 @@
 
     @property
     def finished(self) -> bool:
-        """Tell whether the member has its answer."""
+        """Return whether the member has its answer."""
         return self.view is not None and self.view.state is LeaseState.FINISHED
 
     @property
     def failed(self) -> bool:
-        """Tell whether the member cannot get an answer any more."""
+        """Return whether the member cannot get an answer any more."""
         ended_without_answer = self.view is not None and self.view.final and not self.finished
         return ended_without_answer or self.error is not None
 
     @property
     def done(self) -> bool:
-        """Tell whether the member has finished or failed."""
+        """Return whether the member has finished or failed."""
         return self.finished or self.failed
 
     def update(self, view: LeaseView) -> None:
@@ -179,7 +179,7 @@
         return False
 
     def _check_leadership(self) -> bool:
-        """Tell whether this host leads; if not, abandon the attempt without touching its leases.
+        """Return whether this host leads; if not, abandon the attempt without touching its leases.
 
         A deposed leader must not start or stop anything, and must not report an outcome for an
         attempt that has not ended: part of a gang would be left running.
@@ -367,7 +367,7 @@
 
 
 def _is_not_started(reply: Result[LeaseView, WorkerError]) -> bool:
-    """Tell whether the worker reports that it has not received a start of the lease."""
+    """Return whether the worker reports that it has not received a start of the lease."""
     if reply.is_ok():
         return reply.ok.state is LeaseState.RESERVED
     return reply.error.kind is WorkerErrorKind.UNKNOWN_LEASE
--- a/packages/agateferry-service/agateferry_service/dispatch/client.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/client.py
@@ -219,7 +219,7 @@
 
 
 def is_intact(body: LeaseBody) -> bool:
-    """Tell whether the answer matches the length and the digest in its reply."""
+    """Return whether the answer matches the length and the digest in its reply."""
     if body.answer is None:
         return False
     data = body.answer.encode()
--- a/packages/agateferry-service/agateferry_service/dispatch/messages.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/messages.py
@@ -32,7 +32,7 @@
 
     @property
     def final(self) -> bool:
-        """Tell whether the lease is in a final state."""
+        """Return whether the lease is in a final state."""
         return self.state in FINAL_LEASE_STATES
 
 
--- a/packages/agateferry-service/agateferry_service/entry/views.py
+++ b/packages/agateferry-service/agateferry_service/entry/views.py
@@ -10,7 +10,7 @@
 
 
 def has_ended(view: pb.RequestView) -> bool:
-    """Tell whether a request is in a terminal state."""
+    """Return whether a request is in a terminal state."""
     return view.state in TERMINAL_STATES
 
 
--- a/packages/agateferry-service/agateferry_service/requests/ledger.py
+++ b/packages/agateferry-service/agateferry_service/requests/ledger.py
@@ -66,7 +66,7 @@
         return iter(self._open.values())
 
     def is_active_lease(self, lease: str) -> bool:
-        """Tell whether a lease belongs to the current attempt of an open request."""
+        """Return whether a lease belongs to the current attempt of an open request."""
         parsed = parse_lease(lease)
         if parsed is None:
             return False
--- a/packages/agateferry-service/agateferry_service/requests/state.py
+++ b/packages/agateferry-service/agateferry_service/requests/state.py
@@ -101,12 +101,12 @@
 
     @property
     def ended(self) -> bool:
-        """Tell whether the request is in a terminal state."""
+        """Return whether the request is in a terminal state."""
         return self.state in TERMINAL_STATES
 
     @property
     def has_active_attempt(self) -> bool:
-        """Tell whether an attempt is placed or running."""
+        """Return whether an attempt is placed or running."""
         return self.state in ACTIVE_STATES
 
     def reached_stage(self) -> Stage:
--- a/packages/agateferry-state/agateferry_state/journal/recovery.py
+++ b/packages/agateferry-state/agateferry_state/journal/recovery.py
@@ -92,7 +92,7 @@
 
 
 def is_uninitialized(files: Files, folder: Path) -> bool:
-    """Tell whether the folder does not hold an initialized journal yet.
+    """Return whether the folder does not hold an initialized journal yet.
 
     Initialization writes the incarnation last. A folder with a first segment and no incarnation,
     vote or snapshot was therefore left by a crash during initialization.
--- a/packages/agateferry-state/agateferry_state/journal/terms.py
+++ b/packages/agateferry-state/agateferry_state/journal/terms.py
@@ -27,7 +27,7 @@
         return LogPosition(index, self._run_terms[bisect_right(self._run_starts, index) - 1])
 
     def contains(self, base: LogPosition) -> bool:
-        """Tell whether the log has this term at this index; the base counts as contained."""
+        """Return whether the log has this term at this index; the base counts as contained."""
         is_within_log = self._run_starts[0] <= base.index <= self._last_index
         return is_within_log and self.position_at(base.index) == base
 
--- a/packages/agateferry-state/agateferry_state/members/admission.py
+++ b/packages/agateferry-state/agateferry_state/members/admission.py
@@ -44,7 +44,7 @@
 
 
 def is_viable(members: Members) -> bool:
-    """Tell whether these members can commit at all, which needs a voter with a disk."""
+    """Return whether these members can commit at all, which needs a voter with a disk."""
     return any(m.has_disk for m in members.voters)
 
 
--- a/packages/agateferry-state/agateferry_state/members/members.py
+++ b/packages/agateferry-state/agateferry_state/members/members.py
@@ -66,7 +66,7 @@
         return next((m for m in self.all if m.id == member_id), None)
 
     def is_voter(self, member_id: MemberId) -> bool:
-        """Tell whether this identity counts in quorums."""
+        """Return whether this identity counts in quorums."""
         return any(m.id == member_id for m in self.voters)
 
     def with_learner(self, member: Member) -> "Members":
--- a/packages/agateferry-state/agateferry_state/members/quorum.py
+++ b/packages/agateferry-state/agateferry_state/members/quorum.py
@@ -17,7 +17,7 @@
 
 
 def is_majority(members: Members, ids: Collection[MemberId]) -> bool:
-    """Tell whether more than half of the voters are among `ids`."""
+    """Return whether more than half of the voters are among `ids`."""
     count = sum(1 for m in members.voters if m.id in ids)
     return count * 2 > len(members.voters)
 
@@ -25,7 +25,7 @@
 def includes_all_survivors(
     members: Members, ids: Collection[MemberId], superseded: Collection[MemberId]
 ) -> bool:
-    """Tell whether every voter is in `ids`, except superseded voters without a disk.
+    """Return whether every voter is in `ids`, except superseded voters without a disk.
 
     At least one of the voters in `ids` must have a disk.
     """
@@ -37,7 +37,7 @@
 def can_commit(
     members: Members, holders: Collection[MemberId], superseded: Collection[MemberId]
 ) -> bool:
-    """Tell whether an entry that `holders` hold, synced where they have a disk, is committed.
+    """Return whether an entry that `holders` hold, synced where they have a disk, is committed.
 
     The copy on a disk may be that of a learner on the host of a superseded voter with a disk: that
     voter can never return and take part in a recovery without the learner.
--- a/packages/agateferry-state/agateferry_state/replica/codec.py
+++ b/packages/agateferry-state/agateferry_state/replica/codec.py
@@ -40,12 +40,12 @@
 
     @property
     def is_heartbeat(self) -> bool:
-        """Tell whether this is an append without entries, which a newer message supersedes."""
+        """Return whether this is an append without entries, which a newer message supersedes."""
         return isinstance(self.message, AppendRequest) and not self.message.entries
 
     @property
     def is_bulk(self) -> bool:
-        """Tell whether the message carries log entries or a snapshot chunk."""
+        """Return whether the message carries log entries or a snapshot chunk."""
         if isinstance(self.message, AppendRequest):
             return bool(self.message.entries)
         return isinstance(self.message, SnapshotChunk)
--- a/packages/agateferry-state/agateferry_state/replica/datagrams.py
+++ b/packages/agateferry-state/agateferry_state/replica/datagrams.py
@@ -70,11 +70,11 @@
             self._last_bidirectional_ms[host] = now_ms
 
     def receives_from(self, host: str) -> bool:
-        """Tell whether a datagram from this host arrived recently."""
+        """Return whether a datagram from this host arrived recently."""
         return self._is_recent(self._last_received_ms.get(host))
 
     def is_bidirectional(self, host: str) -> bool:
-        """Tell whether datagrams recently passed in both directions."""
+        """Return whether datagrams recently passed in both directions."""
         return self._is_recent(self._last_bidirectional_ms.get(host))
 
     def _is_recent(self, at_ms: int | None) -> bool:
--- a/packages/agateferry-state/agateferry_state/replica/link.py
+++ b/packages/agateferry-state/agateferry_state/replica/link.py
@@ -64,7 +64,7 @@
         self.task = self._loop.create_task(self._read())
 
     def request_if_due(self) -> bool:
-        """Tell whether the next batch should ask for a receipt; if so, start its timeout."""
+        """Return whether the next batch should ask for a receipt; if so, start its timeout."""
         now = self._loop.time()
         if (
             self._timer is not None
--- a/packages/agateferry-state/agateferry_state/replica/node.py
+++ b/packages/agateferry-state/agateferry_state/replica/node.py
@@ -87,7 +87,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this member leads, its lease is valid now, and it has caught up."""
+        """Return whether this member leads, its lease is valid now, and it has caught up."""
         driver = self._driver
         if driver is None or driver.failure is not None:
             return False
--- a/packages/agateferry-state/agateferry_state/replica/proposals.py
+++ b/packages/agateferry-state/agateferry_state/replica/proposals.py
@@ -33,7 +33,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no proposal is pending."""
+        """Return whether no proposal is pending."""
         return not self._proposed and not self._accepted
 
     def add_proposal(self) -> tuple[int, asyncio.Future[ProposalResult]]:
--- a/packages/agateferry-state/agateferry_state/replica/protocols.py
+++ b/packages/agateferry-state/agateferry_state/replica/protocols.py
@@ -64,7 +64,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this member leads and its lease is valid now."""
+        """Return whether this member leads and its lease is valid now."""
 
     @property
     def leader(self) -> str | None:
--- a/packages/agateferry-state/agateferry_state/replica/tests/test_node.py
+++ b/packages/agateferry-state/agateferry_state/replica/tests/test_node.py
@@ -110,7 +110,7 @@
         return await self.wait_for_leader(hosts)
 
     def is_settled(self, host, size):
-        """Tell whether a host leads `size` voters that all have the whole log."""
+        """Return whether a host leads `size` voters that all have the whole log."""
         status = host.replica.status()
         matched = [m.match_index for m in status.members if m.is_voter]
         return host.replica.is_leader and matched == [status.last_index] * size
--- a/packages/agateferry-state/agateferry_state/replica/transport.py
+++ b/packages/agateferry-state/agateferry_state/replica/transport.py
@@ -156,7 +156,7 @@
         return self._datagram_reachability.is_bidirectional(host)
 
     def _may_use_datagram(self, envelope: Envelope) -> bool:
-        """Tell whether a message is small and may arrive before earlier ones in the stream."""
+        """Return whether a message is small and may arrive before earlier ones in the stream."""
         if not envelope.is_heartbeat:
             return isinstance(envelope.message, AppendResponse)
         last_bulk_ms = self._last_bulk_ms.get(envelope.recipient.host)
--- a/packages/agateferry-state/agateferry_state/replication/core.py
+++ b/packages/agateferry-state/agateferry_state/replication/core.py
@@ -154,7 +154,7 @@
         return state.election_deadline_ms
 
     def holds_lease(self, now_ms: int) -> bool:
-        """Tell whether this member leads and no other member can lead at `now_ms`."""
+        """Return whether this member leads and no other member can lead at `now_ms`."""
         leader_state = self._state.leader_state
         return leader_state is not None and leader_state.lease.is_valid(now_ms)
 
@@ -266,7 +266,7 @@
                 greeting.on_request(state, sender, message)
 
     def _should_accept(self, sender: MemberId, recipient: MemberId, message: Message) -> bool:
-        """Tell whether a message is for this incarnation and its sender is not superseded.
+        """Return whether a message is for this incarnation and its sender is not superseded.
 
         A superseded sender is asked to prove that it runs, since it may be the newer incarnation. A
         greeting may also be addressed to the host alone, because its sender may not know which
--- a/packages/agateferry-state/agateferry_state/replication/lease.py
+++ b/packages/agateferry-state/agateferry_state/replication/lease.py
@@ -36,5 +36,5 @@
             del self._started_ms[older]
 
     def is_valid(self, now_ms: int) -> bool:
-        """Tell whether no other leader can exist at `now_ms`."""
+        """Return whether no other leader can exist at `now_ms`."""
         return now_ms < self.valid_until_ms
--- a/packages/agateferry-state/agateferry_state/replication/log.py
+++ b/packages/agateferry-state/agateferry_state/replication/log.py
@@ -58,7 +58,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing was ever stored here."""
+        """Return whether nothing was ever stored here."""
         return self.last_index == 0
 
     def member_changes_after(self, index: int) -> list[tuple[int, Members, Members]]:
--- a/packages/agateferry-state/agateferry_state/replication/snapshots.py
+++ b/packages/agateferry-state/agateferry_state/replication/snapshots.py
@@ -54,7 +54,7 @@
 
 
 def is_needed(state: State, progress: Progress) -> bool:
-    """Tell whether a peer needs a snapshot, because the log no longer holds its next entry.
+    """Return whether a peer needs a snapshot, because the log no longer holds its next entry.
 
     Starts the transfer with the newest snapshot where none is under way.
     """
--- a/packages/agateferry-state/agateferry_state/replication/state.py
+++ b/packages/agateferry-state/agateferry_state/replication/state.py
@@ -92,7 +92,7 @@
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether this member is a voter according to its own log."""
+        """Return whether this member is a voter according to its own log."""
         return self.log.members.is_voter(self.me.id)
 
     @property
@@ -103,7 +103,7 @@
         return frozenset(m.id for m in self.log.members.voters if self.is_superseded(m.id))
 
     def is_superseded(self, member_id: MemberId) -> bool:
-        """Tell whether another incarnation was confirmed to run on this member's host."""
+        """Return whether another incarnation was confirmed to run on this member's host."""
         confirmed = self.confirmed_members.get(member_id.host)
         return confirmed is not None and confirmed.member.id != member_id
 
--- a/packages/agateferry-state/agateferry_state/replication/tests/support.py
+++ b/packages/agateferry-state/agateferry_state/replication/tests/support.py
@@ -358,7 +358,7 @@
         return None
 
     def is_fully_replicated(self):
-        """Tell whether every host is a running voter with the whole committed log of the leader."""
+        """Return whether every host is a running voter that has the leader's committed log."""
         cores = [h.core for h in self.hosts.values()]
         name = self.leader()
         if name is None or None in cores:
