--- a/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
@@ -18,7 +18,7 @@
 
     answers: bool = True
     is_suspect: bool = False
-    strays: tuple[RunKey, ...] = ()
+    unexpected_runs: tuple[RunKey, ...] = ()
     """Runs that the worker reports but the ledger does not place there; they use resources too."""
 
 
@@ -142,7 +142,7 @@
 
 
 def _allocate_strays(worker: WorkerAllocation, ledger: Ledger) -> None:
-    for job_id, name in worker.health.strays:
+    for job_id, name in worker.health.unexpected_runs:
         job = ledger.jobs.get(job_id)
         if job is not None:
             worker.allocate(job, name)
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
@@ -59,7 +59,7 @@
 
     def test_a_stray_run_holds_resources(self):
         self.do(job_command("j", StepSpec(1, WHOLE_WORKER)))
-        self.add(worker("w1"), strays=(("j", "0.0.0"),))
+        self.add(worker("w1"), unexpected_runs=(("j", "0.0.0"),))
         self.do(job_command("k", StepSpec(1, WHOLE_WORKER)))
         self.assertEqual({}, self.placed())
 
