--- a/packages/agateferry-jobs/agateferry_jobs/daemon/cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/cell.py
@@ -32,9 +32,9 @@
     lease_ms=520,
     replaces_hosts=True,
 )
-"""The election timeout is three heartbeats or more.
+"""The timing of the replicated log; the shortest election timeout is three heartbeats.
 
-That suffices for the delay of 0.5 ms between zones and for a slow disk that blocks the event loop
+Three suffice for the delay of 0.5 ms between zones and for a slow disk that blocks the event loop
 for 0.2 s.
 """
 WORKER_LEASE_MS = 8_000
