--- a/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
@@ -24,7 +24,10 @@
 from agateferry_jobs.manifest import Manifest
 
 ENDED_JOB_RETENTION_MS = 300_000
-"""How long the state of an ended job can be queried; over twice the platform's longest query."""
+"""How long the state of an ended job can be queried.
+
+It is over twice the longest time that the platform requires.
+"""
 
 
 class State(Struct):
