--- a/packages/agateferry-service/agateferry_service/operators/membership.py
+++ b/packages/agateferry-service/agateferry_service/operators/membership.py
@@ -130,9 +130,9 @@
             return Error(self._membership_refusal(preview.error, body.host))
         if not body.dry_run:
             member = Member(MemberId(body.host))
-            outcome = await _wait_for_commit(node.change_member(body.action, member))
-            if outcome.is_error():
-                return Error(self._membership_refusal(outcome.error, body.host))
+            result = await _wait_for_commit(node.change_member(body.action, member))
+            if result.is_error():
+                return Error(self._membership_refusal(result.error, body.host))
         warnings = _removal_warnings(body.host, preview.ok) if _removes(body) else []
         return Ok(self._document(body, preview.ok, warnings, changed=True))
 
@@ -158,9 +158,9 @@
         if preview.is_error():
             return Error(self._recovery_refusal(preview.error, status, body.lost))
         if not body.dry_run:
-            outcome = await _wait_for_commit(node.force_recovery(lost))
-            if outcome.is_error():
-                return Error(self._recovery_refusal(outcome.error, status, body.lost))
+            result = await _wait_for_commit(node.force_recovery(lost))
+            if result.is_error():
+                return Error(self._recovery_refusal(result.error, status, body.lost))
         document = self._document(body, preview.ok, _recovery_warnings(status), changed=True)
         return Ok(document | {"log": {"term": status.last_term, "index": status.last_index}})
 
--- a/packages/agateferry-service/agateferry_service/records/plane.py
+++ b/packages/agateferry-service/agateferry_service/records/plane.py
@@ -38,9 +38,9 @@
 
     def apply(self, index: int, command: bytes) -> PutOutcome:
         """Apply a committed put and wake waiting calls."""
-        outcome = super().apply(index, command)
+        result = super().apply(index, command)
         self._wake_waiters()
-        return outcome
+        return result
 
     def restore(self, data: bytes) -> None:
         """Replace the whole store with a snapshot and wake waiting calls."""
@@ -106,8 +106,8 @@
         revisions = store.since(req.after_revision)
         return pb.RecordsReply(revisions=encode_revisions(revisions), newest=store.revision)
 
-    def _put_reply(self, outcome: Any, schema: Schema) -> pb.QueryReply:
-        match outcome:
+    def _put_reply(self, result: Any, schema: Schema) -> pb.QueryReply:
+        match result:
             case Accepted(revision=revision):
                 return pb.QueryReply(body=json.dumps(revision_json(revision, schema)))
             case Conflict(current=current):
@@ -116,8 +116,8 @@
                 refused.current = json.dumps(revision_json(current, schema) if current else None)
                 return pb.QueryReply(refusal=refused)
             case Invalid():
-                return self._refuse(RefusalReason.INVALID, str(outcome))
-        raise TypeError(f"unknown outcome of a put of a record: {outcome!r}")
+                return self._refuse(RefusalReason.INVALID, str(result))
+        raise TypeError(f"unknown result of a put of a record: {result!r}")
 
     def _refuse(self, reason: RefusalReason, detail: str) -> pb.QueryReply:
         self._metrics.refused(reason)
