--- a/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/placement/first_fit.py
@@ -5,8 +5,8 @@
 from agateferry_core.demand import Adjacency, Assignment, Demand
 from agateferry_scheduling.topology import Topology, WorkerState
 
-# The number of members of a gang on each worker, by the name of the worker.
 MemberCounts = dict[str, int]
+"""The number of members of a gang on each worker, by the name of the worker."""
 
 
 def assignments_of(demand: Demand, counts: MemberCounts) -> tuple[Assignment, ...]:
