--- a/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
@@ -105,7 +105,7 @@
             if condition():
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError(f"in vain: {what}")
+        raise AssertionError(f"did not happen in time: {what}")
 
 
 class KillTests(CellCase):
