--- a/packages/agateferry-jobs/agateferry_jobs/planning/worker_selection.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/worker_selection.py
@@ -17,9 +17,9 @@
     from agateferry_jobs.planning.planner import ReadySubtasks
 
 DATA_RACK_WAIT_FACTOR = 2.0
-"""A subtask waits for its data's rack up to this many times its expected duration.
+"""A subtask waits for its data's rack for up to this many times its expected duration.
 
-On another rack it takes three times as long, so a longer wait would end later than a start there.
+On another rack it takes three times as long, so it may wait for twice its duration.
 """
 SHARE_WORKERS_AFTER_SLACK_SHARE = 0.2
 """The share of its slack after which the least urgent work may use any worker."""
