--- a/packages/agateferry-jobs/agateferry_jobs/calls/messages.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/messages.py
@@ -51,7 +51,7 @@
 
 
 class Heartbeat(Struct, frozen=True, tag="beat"):
-    """Report a worker's state; a lower `sequence` than one reported before is ignored.
+    """Report a worker's state; one with a lower `sequence` than an earlier one is ignored.
 
     `clock_ms` reads the worker's clock; `remaining_ms` is the time that a draining worker has left.
     """
--- a/packages/agateferry-jobs/agateferry_jobs/cell/events.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/events.py
@@ -38,4 +38,4 @@
     "command not committed or its outcome unknown",
     "Nothing to do if leadership changed; otherwise check the host's disk.",
 )
-TASK_FAILED = Event(7351, "background task failed", "Report the exception that detail names.")
+TASK_FAILED = Event(7351, "background task failed", "Report the detail as a bug.")
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/events.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/events.py
@@ -5,7 +5,7 @@
 STARTING = Event(
     7401, "starting", "Nothing to do unless 7402 does not follow; then read the lines after this."
 )
-READY = Event(7402, "started", "Nothing to do.")
+READY = Event(7402, "started", "Nothing to do unless the process starts again and again.")
 STOPPING = Event(
     7403,
     "stopping on a signal",
@@ -32,7 +32,7 @@
     "no answer from a leader",
     "Check that the cell has a leader and that this host can reach it.",
 )
-LEADER_FOUND = Event(7411, "leader answers", "Nothing to do.")
+LEADER_FOUND = Event(7411, "leader answers", "Nothing to do unless it follows 7410 often.")
 CALL_ANSWERED = Event(
     7412, "call answered", "Search the leader's log for the id if the status is unexpected."
 )
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/commands.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/commands.py
@@ -47,7 +47,7 @@
 
 
 class PutManifest(Struct, frozen=True, tag="manifest"):
-    """Put a manifest into force if its version is higher than that of the current one."""
+    """Put a manifest in force if its version is higher than that of the current one."""
 
     manifest: Manifest
 
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/durations.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/durations.py
@@ -28,7 +28,7 @@
     sum_error_squared: float = 0.0
 
     def record(self, declared_ms: int, real_ms: int) -> None:
-        """Record a run that ended as done; one without a declared duration says nothing."""
+        """Record a run that ended as done; one without a declared duration is ignored."""
         if declared_ms <= 0 or real_ms <= 0:
             return
         log_real = math.log(real_ms)
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
@@ -37,9 +37,9 @@
     jobs: dict[str, Job] = field(default_factory=dict)
     workers: dict[str, WorkerIncarnation] = field(default_factory=dict)
     gone: dict[str, int] = field(default_factory=dict)
-    """For each worker that left, `born` of its last incarnation; later news of that is ignored."""
+    """For each worker that left, `born` of its last incarnation; later reports of it are ignored."""
     durations: dict[str, DurationEstimate] = field(default_factory=dict, name="lengths")
-    """How long runs really take, by queue."""
+    """Estimates of how long runs really take, by queue."""
 
 
 class Ledger:
--- a/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
@@ -126,7 +126,7 @@
                 if subtask.active is not None:
                     _allocate_run(workers, job, name, subtask.active, (job.id, name) in stopping)
         for worker in workers.values():
-            _allocate_strays(worker, ledger)
+            _allocate_unexpected_runs(worker, ledger)
         return cls(workers.values())
 
 
@@ -141,7 +141,7 @@
         worker.mark_stopping(worker.runs[-1])
 
 
-def _allocate_strays(worker: WorkerAllocation, ledger: Ledger) -> None:
+def _allocate_unexpected_runs(worker: WorkerAllocation, ledger: Ledger) -> None:
     for job_id, name in worker.health.unexpected_runs:
         job = ledger.jobs.get(job_id)
         if job is not None:
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
@@ -40,7 +40,7 @@
 
 
 def _start_all(job: Job, workers: list[WorkerAllocation], plan: Plan) -> bool:
-    """Add the starts of a job's waiting subtasks and tell whether all of them fit.
+    """Add the starts of a job's waiting subtasks and return whether all of them fit.
 
     A gang starts whole or not at all.
     """
