--- a/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/guarantees/layout.py
@@ -128,9 +128,9 @@
         if allocation.kind is AllocationKind.GUARANTEED:
             use_by_worker = self.guaranteed_use[allocation.request.team]
         for name, members in allocation.member_counts.items():
-            amount = use_by_worker.setdefault(name, Resources())
-            amount.add(allocation.request.demand, sign * members)
-            if amount == Resources():
+            used = use_by_worker.setdefault(name, Resources())
+            used.add(allocation.request.demand, sign * members)
+            if used == Resources():
                 del use_by_worker[name]
 
     def is_movable(self, cell: Cell) -> bool:
--- a/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/queueing/reservation.py
@@ -87,7 +87,7 @@
     free: dict[str, Resources] = {
         worker.name: worker.free_including_pending() for worker in workers
     }
-    fitting = {name: amount.fitting_members(demand) for name, amount in free.items()}
+    fitting = {name: resources.fitting_members(demand) for name, resources in free.items()}
     total = sum(fitting.values())
     start_ms = now_ms
     for end_ms, request_id in _expected_ends(topology, estimates, workers, now_ms):
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
@@ -43,7 +43,7 @@
     ) -> MemberCounts | None:
         """Return a placement on free workers that are not reserved for another request.
 
-        Workers on which nothing was freed since the mark `searched` are skipped. Requests that are
+        Workers on which nothing was freed since the log position `searched` are skipped. Requests that are
         not preemptible are placed only where they break no guarantee.
         """
         demand = request.demand
@@ -192,28 +192,28 @@
                 continue
             if cell.accelerators < wanted or not layout.is_movable(cell):
                 continue
-            for places in self._placements_including(cell, state):
-                if layout.move(cell, places):
+            for placement in self._placements_including(cell, state):
+                if layout.move(cell, placement):
                     return True
         return False
 
     def _placements_including(self, cell: Cell, state: WorkerState) -> list[dict[str, int]]:
-        """Return the layouts of a cell that include a worker."""
+        """Return the placements of a cell that include a worker."""
         first = min(state.worker.accelerators, cell.accelerators)
         if first == cell.accelerators:
             return [{state.name: first}]
         if cell.adjacency is Adjacency.WORKER:
             return []
-        places = {state.name: first}
+        placement = {state.name: first}
         missing = cell.accelerators - first
         rack = self._zone.topology.racks[state.worker.rack]
         others = [w for w in rack.workers.values() if w.is_schedulable() and w.name != state.name]
         for other in sorted(others, key=lambda w: (-w.free_accelerators, w.join_number)):
             taken = min(max(other.free_accelerators, 0), missing)
             if taken:
-                places[other.name] = taken
+                placement[other.name] = taken
                 missing -= taken
-        return [places] if missing == 0 else []
+        return [placement] if missing == 0 else []
 
     def _cell_workers(self, request: PendingRequest) -> Iterator[WorkerState]:
         avoided = self._zone.health.failed_workers_of(request.request_id)
@@ -232,7 +232,7 @@
                 yield state
 
     def _workers_to_search(self, demand: Demand, searched: int) -> Iterable[WorkerState]:
-        """Return the workers that may fit a member now and did not at the mark."""
+        """Return the workers that may fit a member now and did not at the log position `searched`."""
         topology = self._zone.topology
         names = None if searched < 0 else topology.freed_log.since(searched)
         if names is None or (demand.members > 1 and demand.adjacency is Adjacency.ANY and names):
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/messages.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/messages.py
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerLost:
-    """A worker is gone; the caller reports each request that ran there with `RequestEnded`."""
+    """A worker was lost; the caller reports each request that ran there with `RequestEnded`."""
 
     name: str
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/scheduler.py
@@ -94,10 +94,10 @@
                 self._join(worker)
             case WorkerLeaving(name=name):
                 zone.topology.drain(name)
-                self._vacate_closed_workers()
+                self._vacate_unschedulable_workers()
             case WorkerLost(name=name):
                 zone.topology.remove_worker(name)
-                self._vacate_closed_workers()
+                self._vacate_unschedulable_workers()
             case TeamsChanged(teams=teams):
                 zone.set_teams(teams)
                 zone.topology.invalidate_searches()
@@ -152,7 +152,7 @@
             return
         state.quarantined = not change.lifted
         self.zone.topology.invalidate_searches()
-        self._vacate_closed_workers()
+        self._vacate_unschedulable_workers()
 
     def _join(self, worker: Worker) -> None:
         if not self.zone.topology.join(worker):
@@ -160,9 +160,9 @@
         state = self.zone.topology.workers[worker.name]
         state.quarantined = self.zone.health.is_quarantined(worker.name)
         if worker.accelerators:
-            self._vacate_closed_workers()
+            self._vacate_unschedulable_workers()
 
-    def _vacate_closed_workers(self) -> None:
+    def _vacate_unschedulable_workers(self) -> None:
         """Move cells off workers that accept no new work, and requeue requests claiming them."""
         self.zone.layout.refresh()
         for claim in self.zone.claims.unschedulable():
--- a/packages/agateferry-scheduling/agateferry_scheduling/topology/state.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/topology/state.py
@@ -99,8 +99,8 @@
 
         Urgent borrowed work counts only with `include_urgent`.
         """
-        amount = self.free().plus(self.stopping).plus(self.borrowed)
-        return amount.plus(self.borrowed_urgent) if include_urgent else amount
+        resources = self.free().plus(self.stopping).plus(self.borrowed)
+        return resources.plus(self.borrowed_urgent) if include_urgent else resources
 
     def sum_for(self, allocation: Allocation) -> Resources | None:
         """Return the sum in which an allocation counts, or None."""
@@ -115,7 +115,7 @@
         return self.borrowed
 
     def reset(self) -> None:
-        """Set all resources of the worker free."""
+        """Mark all resources of the worker as free."""
         self.free_accelerators = self.worker.accelerators
         self.free_slots = self.worker.slots
         self.free_cpu = self.worker.cpu_cores
