--- a/packages/agateferry-service/agateferry_service/cell/admission.py
+++ b/packages/agateferry-service/agateferry_service/cell/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests: completes a submission from its job record, or refuses it unstored."""
+"""Admission of requests: complete a submission from its job record, or refuse it."""
 
 from dataclasses import dataclass
 
--- a/packages/agateferry-service/agateferry_service/cell/cell.py
+++ b/packages/agateferry-service/agateferry_service/cell/cell.py
@@ -41,7 +41,7 @@
         self._follower_task = asyncio.create_task(self._follow_leadership())
 
     async def stop(self) -> None:
-        """Stop the replica, which hands leadership on, and stop the leader's work."""
+        """Stop the replica, which transfers leadership, and stop the leader's work."""
         await self.ctx.replica.stop()
         if self._follower_task is not None:
             self._follower_task.cancel()
--- a/packages/agateferry-service/agateferry_service/cell/leader.py
+++ b/packages/agateferry-service/agateferry_service/cell/leader.py
@@ -1,4 +1,4 @@
-"""The leader of a zone's cell: admits, places and dispatches requests, and answers callers.
+"""The leader of a zone's cell, which admits, places and dispatches requests.
 
 A leader starts from the state in the cell's log and keeps nothing that the next leader would need:
 the scheduler and the attempts are rebuilt from the ledger at each start.
--- a/packages/agateferry-service/agateferry_service/daemon/host.py
+++ b/packages/agateferry-service/agateferry_service/daemon/host.py
@@ -85,7 +85,7 @@
         ]
 
     async def stop(self) -> None:
-        """Stop gracefully: drain the callers' port, then hand leadership on and close the rest.
+        """Stop gracefully: drain the callers' port, then transfer leadership and close the rest.
 
         The host first reports not ready for `timeouts.drain_notice_ms`, so that the load balancer
         sends callers elsewhere.
--- a/packages/agateferry-service/agateferry_service/dispatch/attempt.py
+++ b/packages/agateferry-service/agateferry_service/dispatch/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request: reserves on all workers, starts all members and follows them.
+"""One attempt of a request: reserve on all workers, start all members and follow their leases.
 
 An attempt's placements are in the cell's log before it starts, so the next leader can resume it:
 calls are idempotent per lease, and every leader uses the same lease names. An attempt stores
@@ -216,7 +216,7 @@
             self._on_running()
 
     async def _is_poll_due(self, member: Member) -> bool:
-        """Wait for a report that the lease ended, or one interval; tell whether to poll it now."""
+        """Wait for a report that the lease ended, or one interval; return whether to poll now."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._times.poll_interval_ms / 1000):
                 await member.end_reported.wait()
--- a/packages/agateferry-service/agateferry_service/settings/problems.py
+++ b/packages/agateferry-service/agateferry_service/settings/problems.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A problem of a settings file: its place, the value there and what is allowed instead."""
+    """A problem of a settings file: the key, its value and what is allowed instead."""
 
     file: Path
     key: str
