--- a/packages/agateferry-state/agateferry_state/replica/link.py
+++ b/packages/agateferry-state/agateferry_state/replica/link.py
@@ -1,9 +1,10 @@
 """A long-lived stream to one peer, replaced by a new one when it stalls.
 
-A connection can stall for good while new connections work. gRPC's keepalive detects that too late
-for a replicated log, as it sends no ping in the first ten seconds. So a batch asks for a receipt
-at intervals. If the receipt or a write takes longer than a timeout, the stream and its channel are
-closed, and a new channel is opened after a backoff. An idle stream asks for no receipts.
+A connection can stall permanently while new connections work. gRPC's keepalive detects that too
+late for a replicated log, as it sends no ping in the first ten seconds. So a batch asks for a
+receipt at intervals. If the receipt or a write takes longer than a timeout, the stream and its
+channel are closed, and a new channel is opened after a backoff. An idle stream asks for no
+receipts.
 """
 
 import asyncio
--- a/packages/agateferry-state/agateferry_state/replica/protocols.py
+++ b/packages/agateferry-state/agateferry_state/replica/protocols.py
@@ -14,7 +14,7 @@
 
 
 class ProposeErrorKind(StrEnum):
-    """Say why a command was not applied here."""
+    """Why a command was not applied here."""
 
     NOT_LEADER = "not-leader"
     """The command will not be applied; retry at the leader."""
--- a/packages/agateferry-state/agateferry_state/replication/effects.py
+++ b/packages/agateferry-state/agateferry_state/replication/effects.py
@@ -87,7 +87,7 @@
 
 
 class RejectReason(StrEnum):
-    """List why a proposal, read or membership change was rejected."""
+    """Why a proposal, read or membership change was rejected."""
 
     NOT_LEADER = "not-leader"
     NOT_READY = "not-ready"
--- a/packages/agateferry-state/agateferry_state/replication/entries.py
+++ b/packages/agateferry-state/agateferry_state/replication/entries.py
@@ -7,7 +7,7 @@
 
 
 class EntryKind(StrEnum):
-    """List the kinds of log entry."""
+    """The kinds of log entries."""
 
     COMMAND = "command"
     """A command for the state machine."""
--- a/packages/agateferry-state/agateferry_state/replication/greeting.py
+++ b/packages/agateferry-state/agateferry_state/replication/greeting.py
@@ -1,11 +1,11 @@
 """Greetings, by which hosts learn which incarnations run, and the start of a new cell.
 
 A member that is no voter and has no leader greets every host it knows. So does a voter that heard
-from no leader for long, because it may have been removed. The recipient asks the sender to repeat
-its greeting with a nonce, so that a delayed greeting is not taken for a current one. A confirmed
-greeting proves which incarnation runs on a host; any other incarnation of that host is superseded.
-A message from a superseded incarnation is answered with the same request, because it may be the
-newer one.
+from no leader for a long time, because it may have been removed. The recipient asks the sender to
+repeat its greeting with a nonce, so that a delayed greeting is not taken for a current one. A
+confirmed greeting proves which incarnation runs on a host; any other incarnation of that host is
+superseded. A message from a superseded incarnation is answered with the same request, because it
+may be the newer one.
 """
 
 from agateferry_state.members import Member, MemberId, Members
--- a/packages/agateferry-state/agateferry_state/replication/leader.py
+++ b/packages/agateferry-state/agateferry_state/replication/leader.py
@@ -130,12 +130,12 @@
     members = state.log.members
     superseded = state.superseded
     index = highest_value_reached(match_indexes, lambda ids: can_commit(members, ids, superseded))
-    index = min(index, _last_index_held_by_witnesses(state, match_indexes))
+    index = min(index, _last_committable_index(state, match_indexes))
     if index > state.commit_index and state.log.term_at(index) == state.term:
         state.commit_index = index
 
 
-def _last_index_held_by_witnesses(state: State, match_indexes: dict[MemberId, int]) -> int:
+def _last_committable_index(state: State, match_indexes: dict[MemberId, int]) -> int:
     """Return the last index that uncommitted membership changes allow to commit.
 
     A change may need further holders besides a quorum of the new members; until they hold it, only
--- a/packages/agateferry-state/agateferry_state/replication/leader_state.py
+++ b/packages/agateferry-state/agateferry_state/replication/leader_state.py
@@ -73,8 +73,8 @@
     def update_peers(self, members: Members, me: MemberId, next_index: int) -> None:
         """Keep a `Progress` for exactly the voters and learners other than this member."""
         wanted = {m.id for m in members.all} - {me}
-        for gone in self.peers.keys() - wanted:
-            del self.peers[gone]
+        for removed in self.peers.keys() - wanted:
+            del self.peers[removed]
         for peer in sorted(wanted - self.peers.keys()):
             self.peers[peer] = Progress(next_index)
 
--- a/packages/agateferry-state/agateferry_state/replication/messages.py
+++ b/packages/agateferry-state/agateferry_state/replication/messages.py
@@ -170,7 +170,7 @@
 
 
 class MemberAction(StrEnum):
-    """List the membership changes that an operator can request."""
+    """The membership changes that an operator can request."""
 
     ADMIT = "admit"
     """Add a host as learner; it becomes a voter once it has caught up."""
--- a/packages/agateferry-state/agateferry_state/replication/peer_messages.py
+++ b/packages/agateferry-state/agateferry_state/replication/peer_messages.py
@@ -11,7 +11,7 @@
     """Ask for a vote, or with `pre_vote` whether a vote would be granted (Ongaro 2014, 9.6).
 
     `transfer` marks a candidate that the leader itself told to start an election. Voters then don't
-    withhold their votes although they heard from the leader lately.
+    withhold their votes although they recently heard from the leader.
     """
 
     term: int
--- a/packages/agateferry-state/agateferry_state/replication/requests.py
+++ b/packages/agateferry-state/agateferry_state/replication/requests.py
@@ -62,7 +62,7 @@
 
 
 def on_transfer(state: State) -> None:
-    """Start a leadership transfer to the most caught-up voter that answered lately.
+    """Start a leadership transfer to the most caught-up voter that answered recently.
 
     Proposals are rejected until the transfer ends or `election_timeout_max_ms` has passed.
     """
--- a/packages/agateferry-state/agateferry_state/replication/state.py
+++ b/packages/agateferry-state/agateferry_state/replication/state.py
@@ -20,7 +20,7 @@
 
 
 class Role(StrEnum):
-    """List the roles of a member in the current term."""
+    """The role of a member in the current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
