--- a/packages/agateferry-jobs/agateferry_jobs/calls/client.py
+++ b/packages/agateferry-jobs/agateferry_jobs/calls/client.py
@@ -1,7 +1,7 @@
 """The client that finds the leader of the cell and retries a call until a reply or the timeout.
 
 Every host of the cell names the leader. A call without a reply in time is retried at another host
-and over a new connection, since an old connection may stay silent for good while new ones work.
+and over a new connection, since an old connection may stay silent permanently while new ones work.
 """
 
 import asyncio
--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_invariants.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_invariants.py
@@ -1,7 +1,7 @@
 """Invariants of runs and leases when workers lose orders or execute them late, twice or reordered.
 
 Everything runs in virtual time from a seed. At each tick the invariants are checked against what
-the workers really run. Injected faults in the code show that the checks find violations.
+the workers really run. Faults planted in the code show that the checks find violations.
 """
 
 import asyncio
@@ -240,10 +240,10 @@
                 raise AssertionError(f"seed {seed}: {exc}") from exc
 
 
-class InjectedFaultTests(testtools.TestCase):
+class PlantedFaultTests(testtools.TestCase):
     def assert_found(self, target, name, fault):
         with mock.patch.object(target, name, fault):
-            self.assertIsNotNone(first_failing_seed(), "the injected fault was not found")
+            self.assertIsNotNone(first_failing_seed(), "the planted fault was not found")
 
     def test_a_lease_that_expires_too_early(self):
         self.assert_found(Lease, "is_expired", lambda lease, now_ms: True)
--- a/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
@@ -143,7 +143,7 @@
         host._replica._driver._fail(JournalError(JournalErrorKind.DISK_FULL, "injected"))
 
     def test_replicas_recover_after_a_full_disk(self):
-        """Without recovery, two full disks took two hosts out of the cell for good.
+        """Without recovery, two full disks took two hosts out of the cell permanently.
 
         The cell then had no majority, and jobs were lost.
         """
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
@@ -57,7 +57,7 @@
         self.do(job_command("k", StepSpec(1, WHOLE_WORKER)))
         self.assertEqual({}, self.placed())
 
-    def test_a_stray_run_holds_resources(self):
+    def test_an_unexpected_run_holds_resources(self):
         self.do(job_command("j", StepSpec(1, WHOLE_WORKER)))
         self.add(worker("w1"), unexpected_runs=(("j", "0.0.0"),))
         self.do(job_command("k", StepSpec(1, WHOLE_WORKER)))
--- a/packages/agateferry-service/agateferry_service/settings/table.py
+++ b/packages/agateferry-service/agateferry_service/settings/table.py
@@ -41,7 +41,7 @@
         """Return the values that this setting allows, as a part of an error text."""
         match self.value_type:
             case ValueType.NAME:
-                return "needs a name of 1 to 63 lower-case letters, digits and hyphens"
+                return "needs a name of 1 to 63 lowercase letters, digits and hyphens"
             case ValueType.ADDRESS:
                 return "needs an IP address and a port, such as 127.0.0.1:7400"
             case ValueType.PATH:
