--- a/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
@@ -37,7 +37,7 @@
     jobs: dict[str, Job] = field(default_factory=dict)
     workers: dict[str, WorkerIncarnation] = field(default_factory=dict)
     gone: dict[str, int] = field(default_factory=dict)
-    """For each worker that left, `born` of its last incarnation; later reports of it are ignored."""
+    """For each worker that left, `born` of its last incarnation; later updates are ignored."""
     durations: dict[str, DurationEstimate] = field(default_factory=dict, name="lengths")
     """Estimates of how long runs really take, by queue."""
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/finder.py
@@ -43,8 +43,8 @@
     ) -> MemberCounts | None:
         """Return a placement on free workers that are not reserved for another request.
 
-        Workers on which nothing was freed since the log position `searched` are skipped. Requests that are
-        not preemptible are placed only where they break no guarantee.
+        Workers on which nothing was freed since the position `searched` of the freed log are
+        skipped. Requests that are not preemptible are placed only where they break no guarantee.
         """
         demand = request.demand
         ends_ms = now_ms + self._zone.estimates.at_most_ms(request)
@@ -232,7 +232,7 @@
                 yield state
 
     def _workers_to_search(self, demand: Demand, searched: int) -> Iterable[WorkerState]:
-        """Return the workers that may fit a member now and did not at the log position `searched`."""
+        """Return the workers that may fit a member now and did not at position `searched`."""
         topology = self._zone.topology
         names = None if searched < 0 else topology.freed_log.since(searched)
         if names is None or (demand.members > 1 and demand.adjacency is Adjacency.ANY and names):
--- a/packages/agateferry-service/agateferry_service/cell/worker_monitor.py
+++ b/packages/agateferry-service/agateferry_service/cell/worker_monitor.py
@@ -29,8 +29,8 @@
 class WorkerMonitor:
     """Track when each worker last sent a heartbeat, and declare silent workers lost.
 
-    The leader keeps the times of heartbeats in memory; only changes of a worker go to the log. A new
-    leader treats every worker as if it had sent a heartbeat when the leader started.
+    The leader keeps the times of heartbeats in memory; only changes of a worker go to the log. A
+    new leader treats every worker as if it had sent a heartbeat when the leader started.
     """
 
     def __init__(
