--- a/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_invariants.py
+++ b/packages/agateferry-jobs/agateferry_jobs/cell/tests/test_invariants.py
@@ -54,11 +54,11 @@
 
     def new_port(self, born):
         port = ModelWorker(self.clock, born)
-        carry_out = port.execute
+        execute = port.execute
 
         def checked(order):
             before = len(port.starts)
-            answer = carry_out(order)
+            answer = execute(order)
             if len(port.starts) > before and self.is_done(order.key):
                 self.restarted_key = order.key
             return answer
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
@@ -37,16 +37,16 @@
         super().setUp()
         self.ledger = Ledger()
 
-    def do(self, command):
+    def apply(self, command):
         return self.ledger.apply(1, commands.encode(command))
 
     def end(self, id, outcome, checkpoint=""):
-        self.do(job_command(id, StepSpec(1, SUBTASK_RESOURCES, estimated_ms=1000)))
+        self.apply(job_command(id, StepSpec(1, SUBTASK_RESOURCES, estimated_ms=1000)))
         start = start_of(id, "0.0.0")
-        self.do(commands.StartRuns((start,), 100))
+        self.apply(commands.StartRuns((start,), 100))
         if checkpoint:
             self.ledger.jobs[id].subtasks["0.0.0"].checkpoint = checkpoint
-        self.do(commands.EndRuns((commands.RunEnded(id, "0.0.0", start.run, outcome),), 4100))
+        self.apply(commands.EndRuns((commands.RunEnded(id, "0.0.0", start.run, outcome),), 4100))
 
     def test_only_runs_that_did_all_the_work_count(self):
         self.end("done", commands.RunOutcome.DONE)
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_ledger.py
@@ -12,28 +12,28 @@
         self.ledger = Ledger()
         self.index = 0
 
-    def do(self, command):
+    def apply(self, command):
         self.index += 1
         return self.ledger.apply(self.index, commands.encode(command))
 
     def end(self, job, subtask, outcome, number=1, checkpoint=""):
         run = Run(number, "w1", 1)
-        return self.do(
+        return self.apply(
             commands.EndRuns((commands.RunEnded(job, subtask, run, outcome, checkpoint),), 0)
         )
 
     def start(self, *starts):
-        return self.do(commands.StartRuns(starts))
+        return self.apply(commands.StartRuns(starts))
 
 
 class JobTests(LedgerCase):
     def test_a_job_submitted_twice_is_one_job(self):
-        self.assertTrue(self.do(job_command("j")))
-        self.assertFalse(self.do(job_command("j")))
+        self.assertTrue(self.apply(job_command("j")))
+        self.assertFalse(self.apply(job_command("j")))
         self.assertEqual(JobState.QUEUED, self.ledger.jobs["j"].state)
 
     def test_completes_when_all_subtasks_are_done(self):
-        self.do(job_command("j", StepSpec(2, SUBTASK_RESOURCES)))
+        self.apply(job_command("j", StepSpec(2, SUBTASK_RESOURCES)))
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
         self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
@@ -41,7 +41,7 @@
         self.assertEqual(JobState.COMPLETED, self.ledger.jobs["j"].state)
 
     def test_only_failed_runs_count_as_attempts(self):
-        self.do(job_command("j", attempts=2))
+        self.apply(job_command("j", attempts=2))
         outcomes = (
             commands.RunOutcome.LAPSED,
             commands.RunOutcome.FAILED,
@@ -58,15 +58,17 @@
         self.assertEqual(JobState.FAILED, self.ledger.jobs["j"].state)
 
     def test_a_cancelled_job_starts_nothing_and_stays_cancelled(self):
-        self.do(job_command("j", StepSpec(2, SUBTASK_RESOURCES)))
+        self.apply(job_command("j", StepSpec(2, SUBTASK_RESOURCES)))
         self.start(start_of("j", "0.0.0"))
-        self.do(commands.CancelJob("j", 5))
+        self.apply(commands.CancelJob("j", 5))
         self.assertEqual((), self.start(start_of("j", "0.0.1")))
         self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual(JobState.CANCELLED, self.ledger.jobs["j"].state)
 
     def test_long_running_subtasks_are_never_done(self):
-        self.do(job_command("j", StepSpec(1, SUBTASK_RESOURCES, is_long_running=True), attempts=1))
+        self.apply(
+            job_command("j", StepSpec(1, SUBTASK_RESOURCES, is_long_running=True), attempts=1)
+        )
         self.start(start_of("j", "0.0.0"))
         self.end("j", "0.0.0", commands.RunOutcome.FAILED)
         self.start(start_of("j", "0.0.0", 2))
@@ -76,34 +78,34 @@
 
 class RunTests(LedgerCase):
     def test_a_subtask_that_runs_or_is_done_is_not_started_again(self):
-        self.do(job_command("j", StepSpec(2, SUBTASK_RESOURCES)))
+        self.apply(job_command("j", StepSpec(2, SUBTASK_RESOURCES)))
         self.assertEqual(1, len(self.start(start_of("j", "0.0.0"))))
         self.assertEqual((), self.start(start_of("j", "0.0.0", 2, "w2")))
         self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual((), self.start(start_of("j", "0.0.0", 2)))
 
     def test_run_numbers_only_rise(self):
-        self.do(job_command("j"))
+        self.apply(job_command("j"))
         self.start(start_of("j", "0.0.0", 3))
         self.end("j", "0.0.0", commands.RunOutcome.STOPPED, 3)
         self.assertEqual((), self.start(start_of("j", "0.0.0", 3)))
 
     def test_a_done_run_counts_even_if_reported_after_it_was_lost(self):
-        self.do(job_command("j"))
+        self.apply(job_command("j"))
         self.start(start_of("j", "0.0.0"))
         self.end("j", "0.0.0", commands.RunOutcome.LOST)
         self.end("j", "0.0.0", commands.RunOutcome.DONE)
         self.assertEqual(JobState.COMPLETED, self.ledger.jobs["j"].state)
 
     def test_a_failure_reported_after_the_run_was_lost_does_not_count(self):
-        self.do(job_command("j", attempts=1))
+        self.apply(job_command("j", attempts=1))
         self.start(start_of("j", "0.0.0"))
         self.end("j", "0.0.0", commands.RunOutcome.LOST)
         self.end("j", "0.0.0", commands.RunOutcome.FAILED)
         self.assertEqual(JobState.RUNNING, self.ledger.jobs["j"].state)
 
     def test_the_newest_checkpoint_is_kept(self):
-        self.do(job_command("j"))
+        self.apply(job_command("j"))
         self.start(start_of("j", "0.0.0"))
         self.end("j", "0.0.0", commands.RunOutcome.STOPPED, 1, "first")
         self.start(start_of("j", "0.0.0", 2))
@@ -114,7 +116,7 @@
 class GangTests(LedgerCase):
     def setUp(self):
         super().setUp()
-        self.do(job_command("j", StepSpec(2, SUBTASK_RESOURCES, is_gang=True), attempts=2))
+        self.apply(job_command("j", StepSpec(2, SUBTASK_RESOURCES, is_gang=True), attempts=2))
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
 
     def test_one_done_member_completes_the_gang(self):
@@ -129,31 +131,31 @@
 
 class WorkerTests(LedgerCase):
     def test_updates_of_an_incarnation_that_left_are_ignored(self):
-        self.do(commands.NoteWorker(worker("w1")))
-        self.do(commands.NoteWorker(worker("w1", state=WorkerState.GONE)))
-        self.assertFalse(self.do(commands.NoteWorker(worker("w1"))))
+        self.apply(commands.NoteWorker(worker("w1")))
+        self.apply(commands.NoteWorker(worker("w1", state=WorkerState.GONE)))
+        self.assertFalse(self.apply(commands.NoteWorker(worker("w1"))))
         self.assertNotIn("w1", self.ledger.workers)
-        self.assertTrue(self.do(commands.NoteWorker(worker("w1", born=2))))
+        self.assertTrue(self.apply(commands.NoteWorker(worker("w1", born=2))))
 
     def test_a_draining_worker_is_never_ready_again_in_the_same_incarnation(self):
-        self.do(commands.NoteWorker(worker("w1", state=WorkerState.DRAINING)))
-        self.do(commands.NoteWorker(worker("w1")))
+        self.apply(commands.NoteWorker(worker("w1", state=WorkerState.DRAINING)))
+        self.apply(commands.NoteWorker(worker("w1")))
         self.assertEqual(WorkerState.DRAINING, self.ledger.workers["w1"].state)
 
 
 class ManifestTests(LedgerCase):
     def test_the_highest_version_wins_and_an_equal_one_changes_nothing(self):
-        self.assertTrue(self.do(commands.PutManifest(manifest(2, source="first"))))
-        self.assertFalse(self.do(commands.PutManifest(manifest(2, source="other"))))
-        self.assertFalse(self.do(commands.PutManifest(manifest(1))))
+        self.assertTrue(self.apply(commands.PutManifest(manifest(2, source="first"))))
+        self.assertFalse(self.apply(commands.PutManifest(manifest(2, source="other"))))
+        self.assertFalse(self.apply(commands.PutManifest(manifest(1))))
         self.assertEqual(b"first", self.ledger.manifest.source)
 
 
 class SnapshotTests(LedgerCase):
     def test_a_snapshot_holds_everything(self):
-        self.do(commands.PutManifest(manifest()))
-        self.do(commands.NoteWorker(worker("w1")))
-        self.do(job_command("j", StepSpec(2, SUBTASK_RESOURCES, is_gang=True)))
+        self.apply(commands.PutManifest(manifest()))
+        self.apply(commands.NoteWorker(worker("w1")))
+        self.apply(job_command("j", StepSpec(2, SUBTASK_RESOURCES, is_gang=True)))
         self.start(start_of("j", "0.0.0"), start_of("j", "0.0.1"))
         copy = Ledger()
         copy.restore(self.ledger.snapshot())
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
@@ -21,14 +21,14 @@
         self.ledger = Ledger()
         self.health = {}
         self.stopping = set()
-        self.do(commands.PutManifest(manifest()))
+        self.apply(commands.PutManifest(manifest()))
 
-    def do(self, command):
+    def apply(self, command):
         return self.ledger.apply(1, commands.encode(command))
 
     def add(self, *incarnations, **health):
         for incarnation in incarnations:
-            self.do(commands.NoteWorker(incarnation))
+            self.apply(commands.NoteWorker(incarnation))
             self.health[incarnation.id] = WorkerHealth(**health)
 
     def plan(self, now_ms=0):
@@ -38,73 +38,73 @@
     def placed(self, now_ms=0):
         """Return the worker of each subtask that the plan starts, and apply the starts."""
         starts = self.plan(now_ms).starts
-        self.do(commands.StartRuns(tuple(starts)))
+        self.apply(commands.StartRuns(tuple(starts)))
         return {(s.job, s.subtask): s.run.worker for s in starts}
 
 
 class CapacityTests(PlannerCase):
     def test_no_worker_gets_more_than_it_has(self):
         self.add(worker("w1"))
-        self.do(job_command("j", StepSpec(3, Resources(gpu=4))))
+        self.apply(job_command("j", StepSpec(3, Resources(gpu=4))))
         self.assertEqual(2, len(self.placed()))
         self.assertEqual({}, self.placed())
 
     def test_a_stopping_run_still_holds_its_resources(self):
         self.add(worker("w1"))
-        self.do(job_command("j", StepSpec(1, WHOLE_WORKER)))
+        self.apply(job_command("j", StepSpec(1, WHOLE_WORKER)))
         self.placed()
-        self.do(commands.CancelJob("j", 0))
-        self.do(job_command("k", StepSpec(1, WHOLE_WORKER)))
+        self.apply(commands.CancelJob("j", 0))
+        self.apply(job_command("k", StepSpec(1, WHOLE_WORKER)))
         self.assertEqual({}, self.placed())
 
     def test_an_unexpected_run_holds_resources(self):
-        self.do(job_command("j", StepSpec(1, WHOLE_WORKER)))
+        self.apply(job_command("j", StepSpec(1, WHOLE_WORKER)))
         self.add(worker("w1"), unexpected_runs=(("j", "0.0.0"),))
-        self.do(job_command("k", StepSpec(1, WHOLE_WORKER)))
+        self.apply(job_command("k", StepSpec(1, WHOLE_WORKER)))
         self.assertEqual({}, self.placed())
 
     def test_draining_and_unreachable_workers_get_nothing(self):
         self.add(worker("w1", state=WorkerState.DRAINING))
         self.add(worker("w2"), answers=False)
-        self.do(job_command("j"))
+        self.apply(job_command("j"))
         self.assertEqual({}, self.placed())
 
     def test_a_suspect_worker_is_the_last_choice(self):
         self.add(worker("w1"), is_suspect=True)
         self.add(worker("w2"))
-        self.do(job_command("j", StepSpec(1, WHOLE_WORKER)))
+        self.apply(job_command("j", StepSpec(1, WHOLE_WORKER)))
         self.assertEqual({("j", "0.0.0"): "w2"}, self.placed())
 
     def test_small_subtasks_fill_a_worker_before_they_open_another(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("j", StepSpec(6, SUBTASK_RESOURCES)))
+        self.apply(job_command("j", StepSpec(6, SUBTASK_RESOURCES)))
         self.assertEqual(1, len(set(self.placed().values())))
 
 
 class StepTests(PlannerCase):
     def test_a_step_waits_for_those_it_depends_on(self):
         self.add(worker("w1"))
-        self.do(
+        self.apply(
             job_command(
                 "j", StepSpec(1, SUBTASK_RESOURCES), StepSpec(1, SUBTASK_RESOURCES, depends_on=(0,))
             )
         )
         self.assertEqual({("j", "0.0.0"): "w1"}, self.placed())
         end = commands.RunEnded("j", "0.0.0", start_of("j", "0.0.0").run, commands.RunOutcome.DONE)
-        self.do(commands.EndRuns((end,), 0))
+        self.apply(commands.EndRuns((end,), 0))
         self.assertEqual({("j", "0.1.0"): "w1"}, self.placed())
 
     def test_an_occurrence_waits_for_its_time(self):
         self.add(worker("w1"))
-        self.do(job_command("j", start_at_ms=1000, interval_ms=500, repeat_count=2))
+        self.apply(job_command("j", start_at_ms=1000, interval_ms=500, repeat_count=2))
         self.assertEqual({}, self.placed(999))
         self.assertEqual([("j", "0.0.0")], list(self.placed(1000)))
         self.assertEqual([("j", "1.0.0")], list(self.placed(1500)))
 
     def test_a_label_and_a_limit_for_each_worker_are_kept(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("j", StepSpec(3, SUBTASK_RESOURCES, required_label="other")))
-        self.do(
+        self.apply(job_command("j", StepSpec(3, SUBTASK_RESOURCES, required_label="other")))
+        self.apply(
             job_command(
                 "k", StepSpec(3, SUBTASK_RESOURCES, required_label="kind", max_per_worker=1)
             )
@@ -114,9 +114,9 @@
 
     def test_a_subtask_waits_for_the_rack_of_its_data_for_a_limited_time(self):
         self.add(worker("w1", rack="far"), worker("w2", rack="near"))
-        self.do(job_command("big", StepSpec(1, WHOLE_WORKER, required_label="near")))
+        self.apply(job_command("big", StepSpec(1, WHOLE_WORKER, required_label="near")))
         self.placed()
-        self.do(
+        self.apply(
             job_command("j", StepSpec(1, SUBTASK_RESOURCES, data_rack="near", estimated_ms=100))
         )
         self.assertEqual({}, self.placed(100))
@@ -126,31 +126,31 @@
 class GangTests(PlannerCase):
     def test_a_gang_starts_whole_or_not_at_all(self):
         self.add(worker("w1"))
-        self.do(job_command("j", StepSpec(2, WHOLE_WORKER, is_gang=True)))
+        self.apply(job_command("j", StepSpec(2, WHOLE_WORKER, is_gang=True)))
         self.assertEqual({}, self.placed())
         self.add(worker("w2"))
         self.assertEqual({"w1", "w2"}, set(self.placed().values()))
 
     def test_members_share_the_run_number(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("j", StepSpec(2, WHOLE_WORKER, is_gang=True)))
-        self.do(commands.StartRuns((start_of("j", "0.0.0", 4),)))
+        self.apply(job_command("j", StepSpec(2, WHOLE_WORKER, is_gang=True)))
+        self.apply(commands.StartRuns((start_of("j", "0.0.0", 4),)))
         end = commands.RunEnded(
             "j", "0.0.0", start_of("j", "0.0.0", 4).run, commands.RunOutcome.STOPPED, "saved"
         )
-        self.do(commands.EndRuns((end,), 0))
+        self.apply(commands.EndRuns((end,), 0))
         starts = self.plan().starts
         self.assertEqual([(5, "saved")] * 2, [(s.run.number, s.checkpoint) for s in starts])
 
     def test_one_rack_holds_the_gang(self):
         self.add(worker("a1", rack="a"), worker("b1", rack="b"), worker("b2", rack="b"))
-        self.do(job_command("j", StepSpec(2, WHOLE_WORKER, is_gang=True, same_rack=True)))
+        self.apply(job_command("j", StepSpec(2, WHOLE_WORKER, is_gang=True, same_rack=True)))
         self.assertEqual({"b1", "b2"}, set(self.placed().values()))
 
     def test_a_gang_that_fits_into_no_rack_spans_racks(self):
         self.add(worker("a1", rack="a"), worker("b1", rack="b"))
         step = StepSpec(2, WHOLE_WORKER, is_gang=True, same_rack=True, estimated_ms=9000)
-        self.do(job_command("j", step))
+        self.apply(job_command("j", step))
         self.assertEqual({"a1", "b1"}, set(self.placed().values()))
 
     def test_a_gang_waits_for_a_rack_with_an_unreachable_worker(self):
@@ -158,7 +158,7 @@
         self.add(worker("a1", rack="a"), worker("b1", rack="b"))
         self.add(worker("b2", rack="b"), answers=False)
         step = StepSpec(2, WHOLE_WORKER, is_gang=True, same_rack=True, estimated_ms=9000)
-        self.do(job_command("j", step))
+        self.apply(job_command("j", step))
         self.assertEqual({}, self.placed(74_999))
         self.assertEqual({"a1", "b1"}, set(self.placed(75_000).values()))
 
@@ -166,52 +166,52 @@
 class LeastUrgentTests(PlannerCase):
     def test_it_leaves_an_empty_worker_until_it_has_waited(self):
         self.add(worker("w1"))
-        self.do(job_command("low", priority=2))
+        self.apply(job_command("low", priority=2))
         self.assertEqual({}, self.placed(ANY_WORKER_AFTER_MS - 1))
         self.assertEqual({("low", "0.0.0"): "w1"}, self.placed(ANY_WORKER_AFTER_MS))
 
     def test_it_does_not_share_workers_with_more_urgent_work(self):
         self.add(worker("w1"), worker("w2"), worker("w3"))
-        self.do(job_command("gang", StepSpec(1, SUBTASK_RESOURCES), priority=1))
-        self.do(job_command("low", priority=2))
+        self.apply(job_command("gang", StepSpec(1, SUBTASK_RESOURCES), priority=1))
+        self.apply(job_command("low", priority=2))
         placed = self.placed()
         self.assertNotEqual(placed[("gang", "0.0.0")], placed[("low", "0.0.0")])
 
     def test_it_shares_workers_with_its_peers(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("low", StepSpec(4, SUBTASK_RESOURCES), priority=2))
+        self.apply(job_command("low", StepSpec(4, SUBTASK_RESOURCES), priority=2))
         self.assertEqual(1, len(set(self.placed().values())))
 
 
 class UrgentTests(PlannerCase):
     def test_urgent_work_preempts_as_little_as_possible(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("low", StepSpec(2, Resources(gpu=6)), priority=2))
+        self.apply(job_command("low", StepSpec(2, Resources(gpu=6)), priority=2))
         self.placed(ANY_WORKER_AFTER_MS)
-        self.do(job_command("small", StepSpec(1, Resources(gpu=2)), priority=2))
+        self.apply(job_command("small", StepSpec(1, Resources(gpu=2)), priority=2))
         self.placed(ANY_WORKER_AFTER_MS)
-        self.do(job_command("urgent", StepSpec(1, Resources(gpu=2)), priority=0))
+        self.apply(job_command("urgent", StepSpec(1, Resources(gpu=2)), priority=0))
         self.assertEqual([], self.plan().stops)
         self.placed()
-        self.do(job_command("urgent2", StepSpec(1, Resources(gpu=2)), priority=0))
+        self.apply(job_command("urgent2", StepSpec(1, Resources(gpu=2)), priority=0))
         stops = self.plan().stops
         self.assertEqual([("small", "0.0.0")], [stop.key for stop in stops])
 
     def test_a_gang_is_preempted_whole(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("low", StepSpec(2, WHOLE_WORKER, is_gang=True), priority=1))
+        self.apply(job_command("low", StepSpec(2, WHOLE_WORKER, is_gang=True), priority=1))
         self.placed()
-        self.do(job_command("urgent", StepSpec(1, WHOLE_WORKER), priority=0))
+        self.apply(job_command("urgent", StepSpec(1, WHOLE_WORKER), priority=0))
         self.assertEqual(
             {("low", "0.0.0"), ("low", "0.0.1")}, {stop.key for stop in self.plan().stops}
         )
 
     def test_resources_of_a_preempted_run_are_reserved_for_the_preempting_job(self):
         self.add(worker("w1"))
-        self.do(job_command("low", StepSpec(1, Resources(gpu=6)), priority=2))
+        self.apply(job_command("low", StepSpec(1, Resources(gpu=6)), priority=2))
         self.placed(ANY_WORKER_AFTER_MS)
-        self.do(job_command("urgent", StepSpec(1, WHOLE_WORKER), priority=0))
-        self.do(job_command("late", StepSpec(1, SUBTASK_RESOURCES), priority=2))
+        self.apply(job_command("urgent", StepSpec(1, WHOLE_WORKER), priority=0))
+        self.apply(job_command("late", StepSpec(1, SUBTASK_RESOURCES), priority=2))
         plan = self.plan()
         self.assertEqual([], plan.starts)
         self.stopping = {stop.key for stop in plan.stops}
@@ -219,21 +219,21 @@
 
     def test_a_gang_short_of_slack_preempts_lower_ranks(self):
         self.add(worker("w1"))
-        self.do(job_command("low", StepSpec(1, WHOLE_WORKER), priority=2))
+        self.apply(job_command("low", StepSpec(1, WHOLE_WORKER), priority=2))
         self.placed(ANY_WORKER_AFTER_MS)
         step = StepSpec(1, WHOLE_WORKER, is_gang=True, estimated_ms=4500)
-        self.do(job_command("gang", step, priority=1))
+        self.apply(job_command("gang", step, priority=1))
         self.assertEqual([], self.plan(7000).stops)
         self.assertEqual([("low", "0.0.0")], [stop.key for stop in self.plan(7001).stops])
         self.assertEqual([], self.plan(10_001).stops)
 
     def test_a_waiting_gang_reserves_what_becomes_free(self):
         self.add(worker("w1"), worker("w2"))
-        self.do(job_command("low", StepSpec(1, WHOLE_WORKER), priority=2))
+        self.apply(job_command("low", StepSpec(1, WHOLE_WORKER), priority=2))
         self.placed(ANY_WORKER_AFTER_MS)
         step = StepSpec(2, WHOLE_WORKER, is_gang=True, estimated_ms=4500)
-        self.do(job_command("gang", step, priority=1))
-        self.do(job_command("small", priority=2))
+        self.apply(job_command("gang", step, priority=1))
+        self.apply(job_command("small", priority=2))
         self.assertEqual([("small", "0.0.0")], [(s.job, s.subtask) for s in self.plan(500).starts])
         self.assertEqual([], self.plan(501).starts)
 
@@ -242,20 +242,22 @@
         reservation moved with each new run, so gangs of whole workers never started."""
         self.add(worker("w1"), worker("w2"))
         for id, at_ms in (("old", ANY_WORKER_AFTER_MS), ("new", 3000)):
-            self.do(job_command(id, StepSpec(1, Resources(gpu=7), estimated_ms=4500), priority=2))
-            self.do(commands.StartRuns(tuple(self.plan(at_ms + 2001).starts), at_ms))
+            self.apply(
+                job_command(id, StepSpec(1, Resources(gpu=7), estimated_ms=4500), priority=2)
+            )
+            self.apply(commands.StartRuns(tuple(self.plan(at_ms + 2001).starts), at_ms))
         step = StepSpec(1, WHOLE_WORKER, is_gang=True, estimated_ms=4500)
-        self.do(job_command("gang", step, priority=1, at_ms=3000))
+        self.apply(job_command("gang", step, priority=1, at_ms=3000))
         small = StepSpec(2, SUBTASK_RESOURCES, estimated_ms=60_000)
-        self.do(job_command("small", small, priority=1, at_ms=3001))
+        self.apply(job_command("small", small, priority=1, at_ms=3001))
         starts = self.plan(4000).starts
         self.assertEqual({"w2"}, {start.run.worker for start in starts})
 
     def test_work_that_is_not_urgent_preempts_nothing(self):
         self.add(worker("w1"))
-        self.do(job_command("low", StepSpec(1, WHOLE_WORKER), priority=2))
+        self.apply(job_command("low", StepSpec(1, WHOLE_WORKER), priority=2))
         self.placed(ANY_WORKER_AFTER_MS)
-        self.do(job_command("j", StepSpec(1, WHOLE_WORKER), priority=1))
+        self.apply(job_command("j", StepSpec(1, WHOLE_WORKER), priority=1))
         self.assertEqual([], self.plan().stops)
 
 
@@ -264,7 +266,7 @@
 
     def borrow(self, id, team, gpu, at_ms=0):
         command = job_command(id, StepSpec(1, Resources(gpu=gpu)), priority=0, at_ms=at_ms)
-        self.do(msgspec.structs.replace(command, team=team))
+        self.apply(msgspec.structs.replace(command, team=team))
 
     def test_urgent_work_beyond_the_guarantee_is_preempted(self):
         self.add(worker("w1"))
@@ -292,9 +294,9 @@
         step = StepSpec(1, SUBTASK_RESOURCES, data_rack="c", estimated_ms=60_000)
         self.add(worker("c1", rack="c", state=WorkerState.READY), answers=True)
         full = job_command("full", StepSpec(1, WHOLE_WORKER, required_label="c"), priority=0)
-        self.do(msgspec.structs.replace(full, team="other"))
+        self.apply(msgspec.structs.replace(full, team="other"))
         self.placed()
-        self.do(job_command("j", step, priority=0))
+        self.apply(job_command("j", step, priority=0))
         self.assertEqual({}, self.placed(GUARANTEED_RACK_WAIT_MS - 1))
         self.assertEqual(1, len(self.placed(GUARANTEED_RACK_WAIT_MS)))
 
@@ -305,11 +307,11 @@
         """
         self.add(worker("a1", rack="a"), worker("a2", rack="a"))
         self.add(worker("b1", rack="b"), worker("b2", rack="b"))
-        self.do(job_command("a", StepSpec(1, WHOLE_WORKER, required_label="a"), priority=1))
-        self.do(job_command("b", StepSpec(1, WHOLE_WORKER, required_label="b"), priority=1))
+        self.apply(job_command("a", StepSpec(1, WHOLE_WORKER, required_label="a"), priority=1))
+        self.apply(job_command("b", StepSpec(1, WHOLE_WORKER, required_label="b"), priority=1))
         self.placed()
         gang = StepSpec(2, Resources(gpu=8), is_gang=True, same_rack=True, estimated_ms=2500)
-        self.do(msgspec.structs.replace(job_command("u", gang, priority=0), team="other"))
+        self.apply(msgspec.structs.replace(job_command("u", gang, priority=0), team="other"))
         stops = self.plan(GUARANTEED_RACK_WAIT_MS).stops
         self.assertEqual(1, len(stops))
         self.stopping = {stops[0].key}
@@ -325,21 +327,25 @@
 
     def test_the_job_with_the_least_slack_left_goes_first(self):
         self.add(worker("w1"))
-        self.do(job_command("long", StepSpec(1, WHOLE_WORKER, estimated_ms=4000), at_ms=0))
-        self.do(job_command("short", StepSpec(1, WHOLE_WORKER, estimated_ms=100), at_ms=500))
+        self.apply(job_command("long", StepSpec(1, WHOLE_WORKER, estimated_ms=4000), at_ms=0))
+        self.apply(job_command("short", StepSpec(1, WHOLE_WORKER, estimated_ms=100), at_ms=500))
         self.assertEqual("short", self.first(600))
 
     def test_a_job_that_is_late_already_goes_after_those_in_time(self):
         self.add(worker("w1"))
-        self.do(job_command("late", StepSpec(1, WHOLE_WORKER, estimated_ms=100), at_ms=0))
-        self.do(job_command("timely", StepSpec(1, WHOLE_WORKER, estimated_ms=4000), at_ms=1000))
+        self.apply(job_command("late", StepSpec(1, WHOLE_WORKER, estimated_ms=100), at_ms=0))
+        self.apply(job_command("timely", StepSpec(1, WHOLE_WORKER, estimated_ms=4000), at_ms=1000))
         self.assertEqual("late", self.first(1200))
         self.assertEqual("timely", self.first(1201))
 
     def test_urgent_jobs_go_in_the_order_of_acceptance(self):
         self.add(worker("w1"))
-        self.do(job_command("b", StepSpec(1, WHOLE_WORKER, estimated_ms=4000), priority=0, at_ms=0))
-        self.do(job_command("a", StepSpec(1, WHOLE_WORKER, estimated_ms=100), priority=0, at_ms=1))
+        self.apply(
+            job_command("b", StepSpec(1, WHOLE_WORKER, estimated_ms=4000), priority=0, at_ms=0)
+        )
+        self.apply(
+            job_command("a", StepSpec(1, WHOLE_WORKER, estimated_ms=100), priority=0, at_ms=1)
+        )
         self.assertEqual("b", self.first(2))
 
 
@@ -347,16 +353,16 @@
     def test_the_run_with_the_least_lost_work_is_preempted(self):
         self.add(worker("w1"))
         for id, at_ms in (("old", ANY_WORKER_AFTER_MS), ("new", 9000)):
-            self.do(job_command(id, StepSpec(1, Resources(gpu=4)), priority=2))
-            self.do(commands.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
-        self.do(job_command("urgent", StepSpec(1, Resources(gpu=4)), priority=0))
+            self.apply(job_command(id, StepSpec(1, Resources(gpu=4)), priority=2))
+            self.apply(commands.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
+        self.apply(job_command("urgent", StepSpec(1, Resources(gpu=4)), priority=0))
         self.assertEqual([("new", "0.0.0")], [stop.key for stop in self.plan(9500).stops])
 
     def test_a_run_that_saves_checkpoints_loses_little(self):
         self.add(worker("w1"))
         for id, saves, at_ms in (("saves", True, ANY_WORKER_AFTER_MS), ("new", False, 5000)):
             step = StepSpec(1, Resources(gpu=4), saves_checkpoints=saves)
-            self.do(job_command(id, step, priority=2))
-            self.do(commands.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
-        self.do(job_command("urgent", StepSpec(1, Resources(gpu=4)), priority=0))
+            self.apply(job_command(id, step, priority=2))
+            self.apply(commands.StartRuns(tuple(self.plan(at_ms).starts), at_ms))
+        self.apply(job_command("urgent", StepSpec(1, Resources(gpu=4)), priority=0))
         self.assertEqual([("saves", "0.0.0")], [stop.key for stop in self.plan(9000).stops])
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_timing.py
@@ -14,20 +14,20 @@
         super().setUp()
         self.ledger = Ledger()
         self.timing = Timing(self.ledger)
-        self.do(commands.PutManifest(manifest(stretch=3.0, target_ms=1000)))
+        self.apply(commands.PutManifest(manifest(stretch=3.0, target_ms=1000)))
 
-    def do(self, command):
+    def apply(self, command):
         self.ledger.apply(1, commands.encode(command))
 
     def job_of(self, *steps, id="j", **schedule):
-        self.do(job_command(id, *steps, **schedule))
+        self.apply(job_command(id, *steps, **schedule))
         return self.ledger.jobs[id]
 
     def finish(self, id, took_ms):
         """Start the first subtask of a job and end it as done after `took_ms`."""
         start = start_of(id, "0.0.0")
-        self.do(commands.StartRuns((start,), 0))
-        self.do(
+        self.apply(commands.StartRuns((start,), 0))
+        self.apply(
             commands.EndRuns(
                 (commands.RunEnded(id, "0.0.0", start.run, commands.RunOutcome.DONE),), took_ms
             )
