--- a/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
+++ b/packages/agateferry-jobs/agateferry_jobs/daemon/tests/test_cell.py
@@ -105,7 +105,7 @@
             if condition():
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError(f"in vain: {what}")
+        raise AssertionError(f"did not happen in time: {what}")
 
 
 class KillTests(CellCase):
@@ -143,7 +143,7 @@
         host._replica._driver._fail(JournalError(JournalErrorKind.DISK_FULL, "injected"))
 
     def test_replicas_recover_after_a_full_disk(self):
-        """Without recovery, two full disks took two hosts out of the cell for good.
+        """Without recovery, two full disks took two hosts out of the cell permanently.
 
         The cell then had no majority, and jobs were lost.
         """
--- a/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/ledger.py
@@ -24,7 +24,10 @@
 from agateferry_jobs.manifest import Manifest
 
 ENDED_JOB_RETENTION_MS = 300_000
-"""How long the state of an ended job can be queried; over twice the platform's longest query."""
+"""How long the state of an ended job can be queried.
+
+It is over twice the longest time that the platform requires.
+"""
 
 
 class State(Struct):
@@ -34,9 +37,9 @@
     jobs: dict[str, Job] = field(default_factory=dict)
     workers: dict[str, WorkerIncarnation] = field(default_factory=dict)
     gone: dict[str, int] = field(default_factory=dict)
-    """For each worker that left, `born` of its last incarnation; later news of that is ignored."""
+    """For each worker that left, `born` of its last incarnation; later updates are ignored."""
     durations: dict[str, DurationEstimate] = field(default_factory=dict, name="lengths")
-    """How long runs really take, by queue."""
+    """Estimates of how long runs really take, by queue."""
 
 
 class Ledger:
@@ -208,7 +211,7 @@
 
 
 def _is_stale(known: WorkerIncarnation, update: WorkerIncarnation) -> bool:
-    """Tell whether an update is outdated: an incarnation that drains is never ready again."""
+    """Return whether an update is outdated: an incarnation that drains is never ready again."""
     return known.state is WorkerState.DRAINING and update.state is WorkerState.READY
 
 
--- a/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/fleet.py
@@ -18,7 +18,7 @@
 
     answers: bool = True
     is_suspect: bool = False
-    strays: tuple[RunKey, ...] = ()
+    unexpected_runs: tuple[RunKey, ...] = ()
     """Runs that the worker reports but the ledger does not place there; they use resources too."""
 
 
@@ -49,22 +49,22 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether this worker may get new runs, provided that it answers."""
+        """Return whether this worker may get new runs, provided that it answers."""
         return self.incarnation.state is WorkerState.READY
 
     @property
     def accepts_runs(self) -> bool:
-        """Tell whether new runs may go to this worker now."""
+        """Return whether new runs may go to this worker now."""
         return self.is_ready and self.health.answers
 
     def can_ever_run(self, step: StepSpec) -> bool:
-        """Tell whether a subtask of this step would fit here if the worker were empty."""
+        """Return whether a subtask of this step would fit here if the worker were empty."""
         if step.required_label and step.required_label not in self.incarnation.labels:
             return False
         return step.need.fits(self.incarnation.capacity)
 
     def fits_now(self, step: StepSpec) -> bool:
-        """Tell whether a subtask of this step fits into the free resources."""
+        """Return whether a subtask of this step fits into the free resources."""
         return self.free_slots > 0 and step.need.fits(self.free)
 
     def count_subtasks(self, job: Job, gang: str) -> int:
@@ -126,7 +126,7 @@
                 if subtask.active is not None:
                     _allocate_run(workers, job, name, subtask.active, (job.id, name) in stopping)
         for worker in workers.values():
-            _allocate_strays(worker, ledger)
+            _allocate_unexpected_runs(worker, ledger)
         return cls(workers.values())
 
 
@@ -141,8 +141,8 @@
         worker.mark_stopping(worker.runs[-1])
 
 
-def _allocate_strays(worker: WorkerAllocation, ledger: Ledger) -> None:
-    for job_id, name in worker.health.strays:
+def _allocate_unexpected_runs(worker: WorkerAllocation, ledger: Ledger) -> None:
+    for job_id, name in worker.health.unexpected_runs:
         job = ledger.jobs.get(job_id)
         if job is not None:
             worker.allocate(job, name)
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/policies.py
@@ -8,7 +8,7 @@
 
 
 class Policy(Protocol):
-    """Decides which subtask starts where, and which runs are preempted for it."""
+    """Decide which subtask starts where, and which runs are preempted for it."""
 
     def plan(self, ledger: Ledger, fleet: Fleet, now_ms: int) -> Plan:
         """Return the starts and stops that are due now."""
@@ -40,7 +40,7 @@
 
 
 def _start_all(job: Job, workers: list[WorkerAllocation], plan: Plan) -> bool:
-    """Add the starts of a job's waiting subtasks and tell whether all of them fit.
+    """Add the starts of a job's waiting subtasks and return whether all of them fit.
 
     A gang starts whole or not at all.
     """
--- a/packages/agateferry-service/agateferry_service/cell/leader.py
+++ b/packages/agateferry-service/agateferry_service/cell/leader.py
@@ -1,4 +1,4 @@
-"""The leader of a zone's cell: admits, places and dispatches requests, and answers callers.
+"""The leader of a zone's cell, which admits, places and dispatches requests.
 
 A leader starts from the state in the cell's log and keeps nothing that the next leader would need:
 the scheduler and the attempts are rebuilt from the ledger at each start.
@@ -73,7 +73,7 @@
 
     @property
     def active(self) -> bool:
-        """Tell whether this host leads and the leader's work has started."""
+        """Return whether this host leads and the leader's work has started."""
         return self._driver is not None and self.ctx.replica.is_leader
 
     def driver(self) -> SchedulerDriver:
--- a/packages/agateferry-service/agateferry_service/daemon/host.py
+++ b/packages/agateferry-service/agateferry_service/daemon/host.py
@@ -85,7 +85,7 @@
         ]
 
     async def stop(self) -> None:
-        """Stop gracefully: drain the callers' port, then hand leadership on and close the rest.
+        """Stop gracefully: drain the callers' port, then transfer leadership and close the rest.
 
         The host first reports not ready for `timeouts.drain_notice_ms`, so that the load balancer
         sends callers elsewhere.
@@ -127,7 +127,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the load balancer should send callers to this host."""
+        """Return whether the load balancer should send callers to this host."""
         return self._ready and not self._stopping and not self._replica_failed
 
     def _build_state(self) -> None:
--- a/packages/agateferry-state/agateferry_state/replica/protocols.py
+++ b/packages/agateferry-state/agateferry_state/replica/protocols.py
@@ -14,7 +14,7 @@
 
 
 class ProposeErrorKind(StrEnum):
-    """Say why a command was not applied here."""
+    """Why a command was not applied here."""
 
     NOT_LEADER = "not-leader"
     """The command will not be applied; retry at the leader."""
@@ -64,7 +64,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this member leads and its lease is valid now."""
+        """Return whether this member leads and its lease is valid now."""
 
     @property
     def leader(self) -> str | None:
