--- a/packages/agateferry-standins/agateferry_standins/callers/caller.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/caller.py
@@ -40,7 +40,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Tell whether the body is a request in a final state."""
+        """Return whether the body is a request in a final state."""
         return self.status == 200 and self.body.get("state") in FINAL_STATES
 
 
--- a/packages/agateferry-standins/agateferry_standins/callers/tally.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/tally.py
@@ -112,6 +112,6 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether every accepted request got its own answer and the error counts are 0."""
+        """Return whether every accepted request got its own answer and the error counts are 0."""
         error_count = self.lost + self.duplicated + self.wrong + self.partial_gangs
         return self.accepted == self.answered and error_count == 0
--- a/packages/agateferry-standins/agateferry_standins/deployment/daemon.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/daemon.py
@@ -29,7 +29,7 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether the daemon was started and has not exited."""
+        """Return whether the daemon was started and has not exited."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
--- a/packages/agateferry-standins/agateferry_standins/deployment/operator_client.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/operator_client.py
@@ -51,7 +51,7 @@
             return 0, {"detail": repr(exc)}
 
     async def is_ready(self, address: str) -> bool:
-        """Tell whether a host is ready to serve callers."""
+        """Return whether a host is ready to serve callers."""
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
             async with self._session.get(f"http://{address}/readyz", timeout=timeout) as resp:
--- a/packages/agateferry-standins/agateferry_standins/deployment/plan.py
+++ b/packages/agateferry-standins/agateferry_standins/deployment/plan.py
@@ -212,7 +212,7 @@
 
 
 def _is_agateferryd(pid: int) -> bool:
-    """Tell whether a process id belongs to a running daemon, and not to a later process."""
+    """Return whether a process id belongs to a running daemon, and not to a later process."""
     try:
         return b"agateferry_service" in Path(f"/proc/{pid}/cmdline").read_bytes()
     except OSError:
--- a/packages/agateferry-standins/agateferry_standins/worker/messages.py
+++ b/packages/agateferry-standins/agateferry_standins/worker/messages.py
@@ -113,7 +113,7 @@
 
     @property
     def final(self) -> bool:
-        """Tell whether the lease is in a final state."""
+        """Return whether the lease is in a final state."""
         return self.state in FINAL_STATES
 
     def progress(self) -> float:
--- a/packages/agateferry-standins/agateferry_standins/worker/start_log.py
+++ b/packages/agateferry-standins/agateferry_standins/worker/start_log.py
@@ -24,7 +24,7 @@
 
     @property
     def is_partial(self) -> bool:
-        """Tell whether a member finished while another never started."""
+        """Return whether a member finished while another never started."""
         return bool(self.finished) and len(self.started) < self.members
 
 
