--- a/packages/agateferry-core/agateferry_core/clock/clock.py
+++ b/packages/agateferry-core/agateferry_core/clock/clock.py
@@ -25,7 +25,7 @@
 class SystemClock:
     """Read the clocks of the operating system.
 
-    The monotonic clock is CLOCK_BOOTTIME where the system has it. It goes on while the machine is
+    The monotonic clock is CLOCK_BOOTTIME where the system has it. It advances while the machine is
     suspended, so a host that resumes does not take its expired lease for a valid one.
     """
 
--- a/packages/agateferry-core/agateferry_core/logs/writer.py
+++ b/packages/agateferry-core/agateferry_core/logs/writer.py
@@ -3,7 +3,7 @@
 import os
 
 MAX_BUFFERED_BYTES = 256 * 1024
-"""Limit of the lines not yet written; about a second of lines on the heaviest day."""
+"""Limit of the lines not yet written; about a second of lines under the heaviest load."""
 
 
 class LineWriter:
--- a/packages/agateferry-core/agateferry_core/metrics/metrics.py
+++ b/packages/agateferry-core/agateferry_core/metrics/metrics.py
@@ -141,7 +141,7 @@
     def broken_answer(self, reason: str) -> None:
         """Count a worker's answer that failed the check of its length, digest or format.
 
-        `reason` is the call that it belongs to, for example start, or look for a poll.
+        `reason` is the call that it belongs to, for example start; a poll has the label look.
         """
         self._broken.labels(reason).inc()
 
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/cluster.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/cluster.py
@@ -1,6 +1,6 @@
 """Simulated workers of a zone, which execute the scheduler's decisions in virtual time.
 
-The simulation counts free resources by itself, apart from the scheduler, and raises
+The simulation counts free resources independently of the scheduler and raises
 `InvariantError` for a decision that no real zone could execute.
 """
 
@@ -21,7 +21,7 @@
     """One run of a request, until it ends, is stopped or loses a worker.
 
     `workers` counts the members on each worker. `failing_workers` are those of them that make the
-    run fail. `checkpoint_ms` is when it was told to stop, if it had time for a checkpoint then.
+    run fail. `checkpoint_ms` is when it was ordered to stop, if it had time for a checkpoint then.
     """
 
     request: PendingRequest
--- a/packages/agateferry-scheduling/agateferry_scheduling/traces/meter.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/traces/meter.py
@@ -26,7 +26,7 @@
     """A request of the replay and its state.
 
     `run_ms` is its real run time. `waiting_since_ms` is None from a start until it is requeued.
-    `is_guaranteed` tells whether the guarantee of its team covered it when it was queued.
+    `is_guaranteed` is whether the guarantee of its team covered it when it was queued.
     """
 
     request: PendingRequest
--- a/packages/agateferry-standins/agateferry_standins/callers/caller.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/caller.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An HTTP reply; status 0 stands for a lost connection, with the cause in `body`."""
+    """An HTTP reply; status 0 means a lost connection, with the cause in `body`."""
 
     status: int
     body: dict[str, Any]
--- a/packages/agateferry-standins/agateferry_standins/callers/messages.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/messages.py
@@ -26,7 +26,7 @@
 
 
 class RequestOutcome(StrEnum):
-    """How a request ended for its caller; `LOST` is without a final answer."""
+    """How a request ended for its caller; `LOST` means without a final answer."""
 
     FINISHED = "finished"
     CANCELLED = "cancelled"
