--- a/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
+++ b/packages/agateferry-jobs/agateferry_jobs/ledger/tests/test_durations.py
@@ -8,14 +8,14 @@
 from agateferry_jobs.support.builders import SUBTASK_RESOURCES
 
 
-class ExpectedTests(testtools.TestCase):
+class ExpectedDurationTests(testtools.TestCase):
     def estimate(self, *pairs):
         estimate = DurationEstimate()
         for declared_ms, real_ms in pairs:
             estimate.record(declared_ms, real_ms)
         return estimate
 
-    def test_few_runs_leave_the_declared_duration(self):
+    def test_few_runs_do_not_change_the_declared_duration(self):
         estimate = self.estimate(*[(1000, 8000)] * (MIN_RUNS - 1))
         self.assertEqual(500, estimate.expected_duration_ms(500))
 
--- a/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
+++ b/packages/agateferry-jobs/agateferry_jobs/planning/tests/test_planner.py
@@ -164,7 +164,7 @@
 
 
 class LeastUrgentTests(PlannerCase):
-    def test_it_leaves_an_empty_worker_until_it_has_waited(self):
+    def test_it_uses_an_empty_worker_only_after_a_wait(self):
         self.add(worker("w1"))
         self.apply(job_command("low", priority=2))
         self.assertEqual({}, self.placed(ANY_WORKER_AFTER_MS - 1))
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_loads.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_loads.py
@@ -12,7 +12,7 @@
 )
 
 
-class DrawTests(testtools.TestCase):
+class DrawJobsTests(testtools.TestCase):
     def test_a_seed_gives_the_same_jobs(self):
         self.assertEqual(draw_jobs(CALM, 3), draw_jobs(CALM, 3))
         self.assertNotEqual(draw_jobs(CALM, 3), draw_jobs(CALM, 4))
--- a/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_report.py
+++ b/packages/agateferry-jobs/agateferry_jobs/simulation/tests/test_report.py
@@ -13,7 +13,7 @@
     return summarize(DayResult([JobOutcome(*each) for each in outcomes], 0.0, 0, 0))
 
 
-class EarnedTests(testtools.TestCase):
+class EarnedShareTests(testtools.TestCase):
     def test_a_job_earns_less_when_late_and_nothing_when_too_late(self):
         """Gangs may take three times their 2 s and 1 s more; up to three times that is late."""
         shares = [summary((job(), ended_ms)).day_share for ended_ms in (7_000, 7_001, 21_001, None)]
--- a/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
+++ b/packages/agateferry-scheduling/agateferry_scheduling/scheduler/tests/test_scheduler.py
@@ -119,7 +119,7 @@
         self.assertEqual(["u"], started(queue(scheduler, request("u", "b", Urgency.URGENT))))
 
 
-class CancellationWaveTests(testtools.TestCase):
+class MassCancellationTests(testtools.TestCase):
     """Cancel 100 requests in each simulated millisecond, in order of submission."""
 
     CANCELLED = 10_000
--- a/packages/agateferry-service/agateferry_service/cell/tests/test_cell.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/test_cell.py
@@ -297,7 +297,7 @@
         self.assertNotEqual("not-run", view.run)
         self.assertEqual([1], list(workers.starts.values()))
 
-    def test_many_workers_are_asked_for_heartbeats_less_often(self):
+    def test_heartbeats_are_less_frequent_with_many_workers(self):
         async def main():
             async with running_cell() as cell:
                 few = (await cell.announce(announcement("w1"))).heartbeat_ms
--- a/packages/agateferry-service/agateferry_service/cell/tests/test_leader.py
+++ b/packages/agateferry-service/agateferry_service/cell/tests/test_leader.py
@@ -23,7 +23,7 @@
 
 
 def lose_leadership_at(replica, step, applied):
-    """Lose leadership at command number `step`, which is applied or not, its outcome unknown."""
+    """Lose leadership at command number `step`, with outcome unknown; apply it if `applied`."""
     propose, numbers = replica.propose, itertools.count()
 
     async def propose_until_lost(command):
--- a/packages/agateferry-service/agateferry_service/daemon/tests/test_host.py
+++ b/packages/agateferry-service/agateferry_service/daemon/tests/test_host.py
@@ -35,7 +35,7 @@
 
 
 async def submit_and_hold(client, wait_s):
-    """Return the task of a submission that the host holds, because the only worker is leaving."""
+    """Return the task of a submission that waits in the cell, as the only worker is leaving."""
     await put_team_and_job(client)
     await client.announce("w1", state="leaving")
     prefer = f"wait={wait_s}"
--- a/packages/agateferry-service/agateferry_service/operators/tests/test_membership.py
+++ b/packages/agateferry-service/agateferry_service/operators/tests/test_membership.py
@@ -87,14 +87,14 @@
     def recover(self, lost, a2_incarnation=None):
         membership_changes = MembershipChanges(
             SimpleNamespace(host=SimpleNamespace(name="a1", zone="z"), peers=()),
-            {Group.CELL: LastNode()},
+            {Group.CELL: NodeWithoutQuorum()},
             FakeHostStatusReader(a2_incarnation),
             None,
         )
         return run_async(membership_changes._recover(RecoveryBody(group=Group.CELL, lost=lost)))
 
 
-class LastNode:
+class NodeWithoutQuorum:
     """The replica of a1, which lost its quorum and can recover if a2 is named as lost."""
 
     def status(self):
--- a/packages/agateferry-standins/agateferry_standins/tests/test_demo.py
+++ b/packages/agateferry-standins/agateferry_standins/tests/test_demo.py
@@ -29,7 +29,7 @@
         self.assertIn("an earlier run left", self.progress_lines[-1])
         self.assertTrue((self.parent / "run").exists())
 
-    def test_a_taken_port_is_a_clear_error(self):
+    def test_a_port_in_use_is_a_clear_error(self):
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))
             sock.listen()
--- a/packages/agateferry-state/agateferry_state/replication/tests/test_core.py
+++ b/packages/agateferry-state/agateferry_state/replication/tests/test_core.py
@@ -8,7 +8,7 @@
 from agateferry_state.replication.tests.support import SEEDS, Cluster, ViolationError
 
 
-class FormingTests(testtools.TestCase):
+class BootstrapTests(testtools.TestCase):
     def test_empty_hosts_form_one_cell(self):
         for seed in range(SEEDS):
             cluster = Cluster(seed, formed=False)
@@ -36,7 +36,7 @@
 
 
 class QuorumLossTests(testtools.TestCase):
-    def test_two_hosts_back_empty_at_once_wait_for_an_operator(self):
+    def test_two_hosts_that_return_empty_at_once_wait_for_an_operator(self):
         for seed in range(SEEDS):
             cluster = Cluster(seed)
             cluster.run_clients(1800)
@@ -54,7 +54,7 @@
             self.assertEqual(kept, cluster.hosts[left].applied_commands[: len(kept)])
 
     def recover(self, cluster, left):
-        # A forced recovery gives up the entries that only the lost disks held.
+        # A forced recovery discards the entries that only the lost disks held.
         held = {i for i, _ in cluster.hosts[left].applied_commands}
         cluster.history.acked = {i: d for i, d in cluster.history.acked.items() if i in held}
         cluster.history.entries_by_index = {
