--- a/packages/agateferry-standins/agateferry_standins/worker/worker.py
+++ b/packages/agateferry-standins/agateferry_standins/worker/worker.py
@@ -102,7 +102,7 @@
             await self._runner.cleanup()
 
     def leave(self) -> None:
-        """Refuse new leases from now on and report the state `leaving`; running tasks go on."""
+        """Refuse new leases from now on and report the state `leaving`; running tasks continue."""
         self.table.leaving = True
         self.heartbeat_sender.send_soon()
 
