--- a/packages/agateferry-standins/agateferry_standins/callers/caller.py
+++ b/packages/agateferry-standins/agateferry_standins/callers/caller.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An HTTP reply; status 0 stands for a lost connection, with the cause in `body`."""
+    """An HTTP reply; status 0 means a lost connection, with the cause in `body`."""
 
     status: int
     body: dict[str, Any]
@@ -40,7 +40,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Tell whether the body is a request in a final state."""
+        """Return whether the body is a request in a final state."""
         return self.status == 200 and self.body.get("state") in FINAL_STATES
 
 
